--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -20,54 +20,54 @@
 	ErrReplayed = errorsOfLease.NewType("replayed")
 	// ErrInvalid is the type of errors about an announcement that lacks a field.
 	ErrInvalid = errorsOfLease.NewType("invalid")
-	// ErrUnknown is the type of errors about a backend server not registered.
-	ErrUnknown = errorsOfLease.NewType("unknown")
+	// ErrNotRegistered is the type of errors about a backend server not registered.
+	ErrNotRegistered = errorsOfLease.NewType("unknown")
 )
 
 // Options configure a Registry. Zero values take defaults.
 type Options struct {
-	// Lease is how long an announcement holds.
-	Lease time.Duration
-	// Linger is how long a member whose lease has ended stays in the views as
+	// LeaseDuration is how long an announcement holds.
+	LeaseDuration time.Duration
+	// Retention is how long a member whose lease has ended stays in the views as
 	// gone, and how long views name earlier placements.
-	Linger time.Duration
-	// MaxEarlier is the number of earlier placements a view names at most.
-	MaxEarlier int
-	// WarmFor is the time from the first new flows to full weight.
-	WarmFor time.Duration
-	// WarmSteps is the number of weights passed on the way, each of them one
+	Retention time.Duration
+	// MaxPastPlacements is the number of earlier placements a view names at most.
+	MaxPastPlacements int
+	// WarmUpDuration is the time from the first new flows to full weight.
+	WarmUpDuration time.Duration
+	// WarmUpSteps is the number of weights passed on the way, each of them one
 	// view change.
-	WarmSteps int
-	// MaxEjected is the share of a service's members, from 0 to 1, that may be
+	WarmUpSteps int
+	// MaxEjectedShare is the share of a service's members, from 0 to 1, that may be
 	// kept from new flows against their own will at once: for ended leases,
 	// failed health and flapping together.
-	MaxEjected float64
+	MaxEjectedShare float64
 	// FlapWindow and FlapLimit say what flapping is: so many ended leases and
 	// restarts in that time.
 	FlapWindow time.Duration
 	FlapLimit  int
-	// HoldDown is how long a flapping member gets no new flows after its last
+	// HoldDownDuration is how long a flapping member gets no new flows after its last
 	// restart.
-	HoldDown time.Duration
-	// Collect is how long the first views of an epoch wait for announcements;
+	HoldDownDuration time.Duration
+	// CollectionPeriod is how long the first views of an epoch wait for announcements;
 	// zero stands for Lease.
-	Collect time.Duration
-	// PublishEvery is the time between two views of one service at least.
-	PublishEvery time.Duration
+	CollectionPeriod time.Duration
+	// MinPublishInterval is the time between two views of one service at least.
+	MinPublishInterval time.Duration
 }
 
 func (o *Options) setDefaults() {
-	setDefault(&o.Lease, 3*time.Second)
-	setDefault(&o.Collect, o.Lease)
-	setDefault(&o.Linger, 30*time.Second)
-	setDefault(&o.MaxEarlier, 8)
-	setDefault(&o.WarmFor, 20*time.Second)
-	setDefault(&o.WarmSteps, 4)
-	setDefault(&o.MaxEjected, 0.5)
+	setDefault(&o.LeaseDuration, 3*time.Second)
+	setDefault(&o.CollectionPeriod, o.LeaseDuration)
+	setDefault(&o.Retention, 30*time.Second)
+	setDefault(&o.MaxPastPlacements, 8)
+	setDefault(&o.WarmUpDuration, 20*time.Second)
+	setDefault(&o.WarmUpSteps, 4)
+	setDefault(&o.MaxEjectedShare, 0.5)
 	setDefault(&o.FlapWindow, 2*time.Minute)
 	setDefault(&o.FlapLimit, 4)
-	setDefault(&o.HoldDown, 30*time.Second)
-	setDefault(&o.PublishEvery, 200*time.Millisecond)
+	setDefault(&o.HoldDownDuration, 30*time.Second)
+	setDefault(&o.MinPublishInterval, 200*time.Millisecond)
 }
 
 func setDefault[T comparable](v *T, d T) {
@@ -109,11 +109,11 @@
 // heldDown reports whether the member gets no new flows because of flapping.
 func (m *member) heldDown(now time.Duration, o *Options) bool {
 	n := len(m.flaps)
-	if n < o.FlapLimit || now-m.flaps[n-1] > o.HoldDown {
+	if n < o.FlapLimit || now-m.flaps[n-1] > o.HoldDownDuration {
 		return false
 	}
 	return m.flaps[n-1]-m.flaps[n-o.FlapLimit] <= o.FlapWindow
 }
 
 // lapsed reports whether the member's lease has ended.
-func (m *member) lapsed(now time.Duration, o *Options) bool { return now-m.heard > o.Lease }
+func (m *member) lapsed(now time.Duration, o *Options) bool { return now-m.heard > o.LeaseDuration }
--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -31,7 +31,7 @@
 	for i := range hosts {
 		f.agents = append(f.agents, announcement(i))
 	}
-	f.r.Lead(0, 1, nil)
+	f.r.StartEpoch(0, 1, nil)
 	return f
 }
 
@@ -105,7 +105,7 @@
 	f.r.SetDrained([]string{"host-2", "host-9"})
 	f.run(second)
 	is.Equal(f.states(), "ready:100/ready:100/draining:0")
-	is.Equal(f.r.Status(f.now, 1)[2].Reasons, []string{"drained by an operator"})
+	is.Equal(f.r.MemberStatuses(f.now, 1)[2].Reasons, []string{"drained by an operator"})
 	f.r.SetDrained(nil)
 	f.run(second)
 	is.Equal(f.states(), "ready:100/ready:100/ready:100") // the drain is cancelled
@@ -151,7 +151,7 @@
 			is.NoErr(r.Announce(0, 1, a))
 			c.change(&a)
 			is.True(c.want(r.Announce(0, 1, a)))
-			is.Equal(r.Stats().Replayed+r.Stats().Invalid, uint64(1))
+			is.Equal(r.Stats().ReplayedAnnouncements+r.Stats().InvalidAnnouncements, uint64(1))
 		})
 	}
 }
@@ -186,8 +186,8 @@
 		{"one is reported failing", 4, func(f *fleet) { f.agents[1].Healthy = false }, 6 * second, "ready:100/ready:0/ready:100/ready:100"},
 		{"a drained one falls silent", 2, func(f *fleet) { f.r.SetDrained([]string{"host-0"}); silence(f, 0) }, 6 * second, "gone:0/ready:100"},
 		{"all are drained", 2, func(f *fleet) { f.r.SetDrained([]string{"host-0", "host-1"}) }, 6 * second, "draining:0/draining:0"},
-		{"a weight is set", 2, func(f *fleet) { f.r.SetWeights(weights(40)) }, second, "ready:100/ready:40"},
-		{"a weight of 0 is set", 2, func(f *fleet) { f.r.SetWeights(weights(0)) }, second, "ready:100/ready:0"},
+		{"a weight is set", 2, func(f *fleet) { f.r.SetWeightFunc(weights(40)) }, second, "ready:100/ready:40"},
+		{"a weight of 0 is set", 2, func(f *fleet) { f.r.SetWeightFunc(weights(0)) }, second, "ready:100/ready:0"},
 		{"an agent asks to leave", 2, func(f *fleet) { f.agents[0].Draining = true }, 6 * second, "draining:0/ready:100"},
 		{"one flaps", 3, func(f *fleet) {
 			for range 5 {
@@ -206,7 +206,7 @@
 			f.agents = append(f.agents, announcement(2))
 			f.agents[2].Packets = f.agents[0].Packets
 		}, 1100 * time.Millisecond, "gone:0/ready:100/joining:0"},
-		{"a replica retires", 2, func(f *fleet) { f.r.Retire(); silence(f, 0) }, 20 * second, "ready:100/ready:100"},
+		{"a replica retires", 2, func(f *fleet) { f.r.EndEpoch(); silence(f, 0) }, 20 * second, "ready:100/ready:100"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -237,7 +237,7 @@
 				earlier = []*view.View{before}
 			}
 			f.silent["host-2"] = true
-			f.r.Lead(f.now, 2, earlier)
+			f.r.StartEpoch(f.now, 2, earlier)
 			f.run(2900 * time.Millisecond)
 			is.Equal(f.newest, before) // still collecting
 			f.run(2 * second)
@@ -304,38 +304,38 @@
 	ms := time.Millisecond
 	cases := []struct {
 		name     string
-		evidence func(*Health)
+		evidence func(*HealthEstimator)
 		low, top float64
 	}{
-		{"nothing known", func(*Health) {}, 1, 1},
-		{"seen to work, reported failing by many", func(h *Health) {
+		{"nothing known", func(*HealthEstimator) {}, 1, 1},
+		{"seen to work, reported failing by many", func(h *HealthEstimator) {
 			for range 100 {
-				h.Seen(0, true)
-				h.Told(0, 0, false)
+				h.RecordOutcome(0, true)
+				h.RecordReport(0, 0, false)
 			}
 		}, 0.79, 1},
-		{"seen to fail, reported working by many", func(h *Health) {
+		{"seen to fail, reported working by many", func(h *HealthEstimator) {
 			for range 100 {
-				h.Seen(0, false)
-				h.Told(0, 0, true)
+				h.RecordOutcome(0, false)
+				h.RecordReport(0, 0, true)
 			}
 		}, 0, 0.22},
-		{"nothing seen, reported failing", func(h *Health) { h.Told(0, 0, false); h.Told(0, 0, false) }, 0.3, 0.4},
-		{"an old report", func(h *Health) { h.Told(200*second, 0, false) }, 0.99, 1},
-		{"old failures", func(h *Health) { h.Seen(-200*second, false) }, 0.99, 1},
-		{"fresh failures after many successes", func(h *Health) {
+		{"nothing seen, reported failing", func(h *HealthEstimator) { h.RecordReport(0, 0, false); h.RecordReport(0, 0, false) }, 0.3, 0.4},
+		{"an old report", func(h *HealthEstimator) { h.RecordReport(200*second, 0, false) }, 0.99, 1},
+		{"old failures", func(h *HealthEstimator) { h.RecordOutcome(-200*second, false) }, 0.99, 1},
+		{"fresh failures after many successes", func(h *HealthEstimator) {
 			for range 100 {
-				h.Seen(-30*second, true)
+				h.RecordOutcome(-30*second, true)
 			}
 			for i := range 20 {
-				h.Seen(time.Duration(i)*ms, false)
+				h.RecordOutcome(time.Duration(i)*ms, false)
 			}
 		}, 0.2, 0.5},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			h := NewHealth(HealthOptions{})
+			h := NewHealthEstimator(HealthEstimatorOptions{})
 			h.seen.at, h.told.at = -300*second, -300*second
 			c.evidence(h)
 			score := h.Score(200 * second * time.Duration(btoi(c.name == "an old report")))
@@ -369,7 +369,7 @@
 	for i := range agents {
 		announce(0, i)
 	}
-	r.Lead(0, 1, nil)
+	r.StartEpoch(0, 1, nil)
 	r.Tick(4 * second)
 	b.Run("announce", func(b *testing.B) {
 		b.ReportAllocs()
--- a/core/lease/link.go
+++ b/core/lease/link.go
@@ -7,9 +7,9 @@
 
 // The states of a Link.
 const (
-	LinkUp      LinkState = iota // the connection in use answers
-	LinkSilent                   // it does not; a fresh connection is being tried
-	LinkSuspect                  // neither does a fresh one
+	LinkUp           LinkState = iota // the connection in use answers
+	LinkUnresponsive                  // it does not; a fresh connection is being tried
+	LinkSuspect                       // neither does a fresh one
 )
 
 // LinkAction is what a Link asks its owner to do.
@@ -17,31 +17,31 @@
 
 // The actions of a Link.
 const (
-	LinkWait      LinkAction = iota // nothing
-	LinkBeat                        // send a heartbeat on the connection in use
-	LinkOpenFresh                   // open a connection from a new port and send a heartbeat on it
-	LinkSwitch                      // use the fresh connection and close the old one
-	LinkDropFresh                   // close the fresh connection
+	LinkNoAction         LinkAction = iota // nothing
+	LinkSendHeartbeat                      // send a heartbeat on the connection in use
+	LinkOpenReplacement                    // open a connection from a new port and send a heartbeat on it
+	LinkUseReplacement                     // use the fresh connection and close the old one
+	LinkCloseReplacement                   // close the fresh connection
 )
 
 // LinkOptions configure a Link. Zero values take defaults.
 type LinkOptions struct {
-	// BeatEvery is the time between heartbeats.
-	BeatEvery time.Duration
-	// SilentAfter is how long a connection may bring nothing before a fresh one
+	// HeartbeatInterval is the time between heartbeats.
+	HeartbeatInterval time.Duration
+	// ReceiveTimeout is how long a connection may bring nothing before a fresh one
 	// is tried.
-	SilentAfter time.Duration
-	// FreshWithin is how long a fresh connection may take to answer.
-	FreshWithin time.Duration
-	// RetryEvery is the time between fresh connections to a suspect peer.
-	RetryEvery time.Duration
+	ReceiveTimeout time.Duration
+	// ReplacementTimeout is how long a fresh connection may take to answer.
+	ReplacementTimeout time.Duration
+	// RetryInterval is the time between fresh connections to a suspect peer.
+	RetryInterval time.Duration
 }
 
 func (o *LinkOptions) setDefaults() {
-	setDefault(&o.BeatEvery, 500*time.Millisecond)
-	setDefault(&o.SilentAfter, 1600*time.Millisecond)
-	setDefault(&o.FreshWithin, time.Second)
-	setDefault(&o.RetryEvery, 2*time.Second)
+	setDefault(&o.HeartbeatInterval, 500*time.Millisecond)
+	setDefault(&o.ReceiveTimeout, 1600*time.Millisecond)
+	setDefault(&o.ReplacementTimeout, time.Second)
+	setDefault(&o.RetryInterval, 2*time.Second)
 }
 
 // Link watches the connection to one peer. A connection may go silent for good
@@ -66,46 +66,46 @@
 // State returns what is known of the path.
 func (l *Link) State() LinkState { return l.state }
 
-// Heard notes that the connection in use brought something.
-func (l *Link) Heard(now time.Duration) LinkAction {
+// RecordReceive notes that the connection in use brought something.
+func (l *Link) RecordReceive(now time.Duration) LinkAction {
 	l.heard = now
 	l.state = LinkUp
 	if !l.fresh {
-		return LinkWait
+		return LinkNoAction
 	}
 	l.fresh = false
-	return LinkDropFresh
+	return LinkCloseReplacement
 }
 
-// FreshHeard notes that the fresh connection brought something.
-func (l *Link) FreshHeard(now time.Duration) LinkAction {
+// RecordReplacementReceive notes that the fresh connection brought something.
+func (l *Link) RecordReplacementReceive(now time.Duration) LinkAction {
 	if !l.fresh {
-		return LinkWait
+		return LinkNoAction
 	}
 	l.heard, l.beat = now, now
 	l.state, l.fresh = LinkUp, false
-	return LinkSwitch
+	return LinkUseReplacement
 }
 
 // Tick returns what is to be done now. Call it more often than BeatEvery.
 func (l *Link) Tick(now time.Duration) LinkAction {
 	switch {
-	case l.state == LinkUp && now-l.heard > l.options.SilentAfter:
-		l.state = LinkSilent
+	case l.state == LinkUp && now-l.heard > l.options.ReceiveTimeout:
+		l.state = LinkUnresponsive
 		return l.open(now)
-	case l.fresh && now-l.opened > l.options.FreshWithin:
+	case l.fresh && now-l.opened > l.options.ReplacementTimeout:
 		l.state, l.fresh = LinkSuspect, false
-		return LinkDropFresh
-	case l.state == LinkSuspect && now-l.opened > l.options.RetryEvery:
+		return LinkCloseReplacement
+	case l.state == LinkSuspect && now-l.opened > l.options.RetryInterval:
 		return l.open(now)
-	case now-l.beat >= l.options.BeatEvery:
+	case now-l.beat >= l.options.HeartbeatInterval:
 		l.beat = now
-		return LinkBeat
+		return LinkSendHeartbeat
 	}
-	return LinkWait
+	return LinkNoAction
 }
 
 func (l *Link) open(now time.Duration) LinkAction {
 	l.opened, l.fresh = now, true
-	return LinkOpenFresh
+	return LinkOpenReplacement
 }
--- a/core/lease/link_test.go
+++ b/core/lease/link_test.go
@@ -35,21 +35,21 @@
 			for now := time.Duration(0); now < 24*second; now += 100 * time.Millisecond {
 				action := l.Tick(now)
 				p := c.at(now)
-				if action == LinkBeat && (p.old || replaced && p.fresh) {
-					action = l.Heard(now)
+				if action == LinkSendHeartbeat && (p.old || replaced && p.fresh) {
+					action = l.RecordReceive(now)
 				}
-				if action == LinkOpenFresh {
+				if action == LinkOpenReplacement {
 					opened++
 					onFresh = true
 				}
 				if onFresh && p.fresh {
-					action = l.FreshHeard(now)
+					action = l.RecordReplacementReceive(now)
 				}
-				if action == LinkSwitch {
+				if action == LinkUseReplacement {
 					switched++
 					replaced = true
 				}
-				onFresh = onFresh && action != LinkSwitch && action != LinkDropFresh
+				onFresh = onFresh && action != LinkUseReplacement && action != LinkCloseReplacement
 			}
 			is.Equal(l.State(), c.state)
 			is.Equal(opened, c.opened)
--- a/core/lease/publish.go
+++ b/core/lease/publish.go
@@ -13,7 +13,7 @@
 // the current one.
 func (r *Registry) update(now time.Duration, s *service) *view.View {
 	s.dirty = false
-	s.due = now + r.options.Lease
+	s.due = now + r.options.LeaseDuration
 	ids := slices.Sorted(maps.Keys(s.members))
 	heard := r.anyHeard(now, s)
 	for _, id := range ids {
@@ -54,28 +54,28 @@
 func (r *Registry) advance(now time.Duration, s *service, m *member, othersHeard bool) {
 	lapsed := m.lapsed(now, &r.options)
 	switch {
-	case m.phase == view.Gone && othersHeard && now-m.since > r.options.Linger:
+	case m.phase == view.Gone && othersHeard && now-m.since > r.options.Retention:
 		r.remove(m)
 		s.dirty = false
 	case lapsed && m.phase != view.Gone && (!m.takesPart() || m.replaced):
 		r.lapse(now, m)
-	case m.phase == view.Warming && now-m.since >= r.options.WarmFor:
+	case m.phase == view.Warming && now-m.since >= r.options.WarmUpDuration:
 		m.phase, m.since = view.Ready, now
 	}
 	switch {
 	case m.phase == view.Warming:
-		s.due = min(s.due, now+r.options.WarmFor/time.Duration(r.options.WarmSteps))
+		s.due = min(s.due, now+r.options.WarmUpDuration/time.Duration(r.options.WarmUpSteps))
 	case m.phase == view.Gone:
-		s.due = min(s.due, max(now+r.options.Lease/2, m.since+r.options.Linger+1))
+		s.due = min(s.due, max(now+r.options.LeaseDuration/2, m.since+r.options.Retention+1))
 	case !lapsed:
-		s.due = min(s.due, m.heard+r.options.Lease+1)
+		s.due = min(s.due, m.heard+r.options.LeaseDuration+1)
 	}
 }
 
 func (r *Registry) lapse(now time.Duration, m *member) {
 	m.phase, m.since = view.Gone, now
 	m.flapped(now, r.options.FlapWindow)
-	r.stats.Lapses++
+	r.stats.ExpiredLeases++
 }
 
 // excluded returns the members that are kept from new flows for an ended lease,
@@ -101,11 +101,11 @@
 		}
 		return cmp.Compare(a.heard, b.heard)
 	})
-	allowed := int(r.options.MaxEjected * float64(total))
+	allowed := int(r.options.MaxEjectedShare * float64(total))
 	out := make(map[string]bool, len(suspects))
 	for i, m := range suspects {
 		if i >= allowed && m.phase != view.Gone {
-			r.stats.Spared++
+			r.stats.SkippedEjections++
 			continue
 		}
 		out[m.id] = true
@@ -114,7 +114,7 @@
 		}
 	}
 	if len(suspects) > 0 {
-		s.due = min(s.due, now+r.options.Lease/2)
+		s.due = min(s.due, now+r.options.LeaseDuration/2)
 	}
 	return out
 }
@@ -163,8 +163,8 @@
 // warmWeight returns the weight of a member of the given full weight that has
 // been warming for d.
 func (r *Registry) warmWeight(full uint32, d time.Duration) uint32 {
-	steps := time.Duration(r.options.WarmSteps)
-	step := min(d*steps/r.options.WarmFor+1, steps)
+	steps := time.Duration(r.options.WarmUpSteps)
+	step := min(d*steps/r.options.WarmUpDuration+1, steps)
 	return max(min(1, full), full*uint32(step)/uint32(steps+1))
 }
 
@@ -192,7 +192,7 @@
 	v.Partial = r.lacking(now)
 	v.Prepare()
 	s.current, s.published = v, now
-	r.stats.Views++
+	r.stats.PublishedViews++
 	return v
 }
 
@@ -206,7 +206,7 @@
 
 // remember adds a superseded view to the history and drops what is too old.
 func (s *service) remember(now time.Duration, v *view.View, o *Options) {
-	s.history = slices.DeleteFunc(s.history, func(p placement) bool { return now-p.until > o.Linger })
+	s.history = slices.DeleteFunc(s.history, func(p placement) bool { return now-p.until > o.Retention })
 	if v == nil {
 		return
 	}
@@ -221,7 +221,7 @@
 		return
 	}
 	s.history = slices.Insert(s.history, 0, p)
-	s.history = s.history[:min(len(s.history), o.MaxEarlier)]
+	s.history = s.history[:min(len(s.history), o.MaxPastPlacements)]
 }
 
 // earlier returns the history as weights of the members with the given IDs.
--- a/core/lease/registry.go
+++ b/core/lease/registry.go
@@ -9,13 +9,13 @@
 
 // Stats are a Registry's counts since its start.
 type Stats struct {
-	Members       int    // registered now
-	Announcements uint64 // taken
-	Replayed      uint64 // refused as older than one already taken
-	Invalid       uint64 // refused for a missing field
-	Lapses        uint64 // leases that ended
-	Spared        uint64 // exclusions not made because of Options.MaxEjected
-	Views         uint64 // published
+	Members               int    // registered now
+	Announcements         uint64 // taken
+	ReplayedAnnouncements uint64 // refused as older than one already taken
+	InvalidAnnouncements  uint64 // refused for a missing field
+	ExpiredLeases         uint64 // leases that ended
+	SkippedEjections      uint64 // exclusions not made because of Options.MaxEjected
+	PublishedViews        uint64 // published
 }
 
 // Registry keeps the members of services and publishes their views. It is not
@@ -58,7 +58,7 @@
 }
 
 // NewRegistry returns a registry without members that publishes nothing before
-// Lead.
+// StartEpoch.
 func NewRegistry(o Options) *Registry {
 	o.setDefaults()
 	return &Registry{
@@ -73,13 +73,13 @@
 // announced themselves to a new leader.
 const partialLeases = 2
 
-// Lead starts an epoch. The registry collects announcements for Options.Collect
+// StartEpoch starts an epoch. The registry collects announcements for Options.Collect
 // before it publishes the epoch's first views. Views of an earlier epoch, where
 // known, keep the weights of members that announce themselves again.
-func (r *Registry) Lead(now time.Duration, epoch uint64, earlier []*view.View) {
+func (r *Registry) StartEpoch(now time.Duration, epoch uint64, earlier []*view.View) {
 	r.epoch, r.number, r.leading = epoch, 0, true
-	r.collects = now + r.options.Collect
-	r.partial = now + partialLeases*r.options.Lease
+	r.collects = now + r.options.CollectionPeriod
+	r.partial = now + partialLeases*r.options.LeaseDuration
 	for _, v := range earlier {
 		r.restore(now, v)
 	}
@@ -115,19 +115,19 @@
 	}
 }
 
-// Retire stops publishing, for a registry that no longer leads.
-func (r *Registry) Retire() { r.leading = false }
+// EndEpoch stops publishing, for a registry that no longer leads.
+func (r *Registry) EndEpoch() { r.leading = false }
 
 // Announce takes an agent's announcement for a service. Errors are of type
 // ErrInvalid and ErrReplayed.
 func (r *Registry) Announce(now time.Duration, id view.ServiceID, a view.Announcement) error {
 	if a.ID == "" || a.Incarnation == 0 || !a.Packets.IsValid() {
-		r.stats.Invalid++
+		r.stats.InvalidAnnouncements++
 		return ErrInvalid.New("announcement of %q for service %d has no ID, incarnation or packet address", a.ID, id)
 	}
 	m := r.members[a.ID]
 	if m != nil && !follows(&a, &m.announcement) {
-		r.stats.Replayed++
+		r.stats.ReplayedAnnouncements++
 		return ErrReplayed.New("announcement %d of run %d of %q is not newer than %d of run %d",
 			a.Sequence, a.Incarnation, a.ID, m.announcement.Sequence, m.announcement.Incarnation)
 	}
@@ -232,9 +232,9 @@
 	}
 }
 
-// SetWeights sets how the weight of a member at full strength is found; nil
+// SetWeightFunc sets how the weight of a member at full strength is found; nil
 // gives every member view.FullWeight. Set it anew when its results change.
-func (r *Registry) SetWeights(weigh func(a *view.Announcement) uint32) {
+func (r *Registry) SetWeightFunc(weigh func(a *view.Announcement) uint32) {
 	r.weigh = weigh
 	r.touch()
 }
@@ -266,7 +266,7 @@
 func (r *Registry) Remove(id string) error {
 	m := r.members[id]
 	if m == nil {
-		return ErrUnknown.New("backend server %q is not registered", id)
+		return ErrNotRegistered.New("backend server %q is not registered", id)
 	}
 	r.remove(m)
 	return nil
@@ -293,18 +293,20 @@
 	r.order = slices.Delete(r.order, i, i+1)
 }
 
-// Collected reports whether enough was heard for the first views of the epoch.
-func (r *Registry) Collected(now time.Duration) bool {
+// CollectionComplete reports whether enough was heard for the first views of the epoch.
+func (r *Registry) CollectionComplete(now time.Duration) bool {
 	return r.leading && (!r.collecting(now) || r.mostHeard())
 }
 
 // FirstViewsDue reports whether enough was heard for the first views of the epoch
 // and none was published.
-func (r *Registry) FirstViewsDue(now time.Duration) bool { return r.number == 0 && r.Collected(now) }
+func (r *Registry) FirstViewsDue(now time.Duration) bool {
+	return r.number == 0 && r.CollectionComplete(now)
+}
 
 // Tick returns the views that have changed, in the order of their services.
 func (r *Registry) Tick(now time.Duration) []*view.View {
-	if !r.Collected(now) {
+	if !r.CollectionComplete(now) {
 		return nil
 	}
 	collecting := r.collecting(now)
@@ -327,7 +329,7 @@
 	if s.current == nil || s.published == 0 || s.current.Partial && !r.lacking(now) {
 		return false
 	}
-	return now-s.published < r.options.PublishEvery
+	return now-s.published < r.options.MinPublishInterval
 }
 
 // View returns the newest view of a service, or nil.
--- a/core/lease/seats.go
+++ b/core/lease/seats.go
@@ -16,10 +16,10 @@
 	awaited map[netip.AddrPort]bool
 }
 
-// SetSeats puts the seats of the durable state in force. Members of authoritative
+// SetRegisteredAgents puts the seats of the durable state in force. Members of authoritative
 // backend servers join views only when they have one, so that the next leader
-// knows of all members. Without SetSeats every member has one.
-func (r *Registry) SetSeats(addrs []netip.AddrPort) {
+// knows of all members. Without SetRegisteredAgents every member has one.
+func (r *Registry) SetRegisteredAgents(addrs []netip.AddrPort) {
 	heard := make(map[netip.AddrPort]bool, len(r.members))
 	for _, m := range r.members {
 		heard[m.announcement.Packets] = true
@@ -35,8 +35,8 @@
 	r.touch()
 }
 
-// Unseated returns the addresses of members that have no seat.
-func (r *Registry) Unseated() []netip.AddrPort {
+// UnregisteredAgents returns the addresses of members that have no seat.
+func (r *Registry) UnregisteredAgents() []netip.AddrPort {
 	if r.seats == nil {
 		return nil
 	}
@@ -52,9 +52,9 @@
 // vacantAfter is how long a member is gone before its seat is given up.
 const vacantAfter = 10 * time.Second
 
-// Vacant returns the seats that hold no flows any more: their backend servers
+// StaleRegistrations returns the seats that hold no flows any more: their backend servers
 // have ended or are gone for long, or nobody has announced itself in time.
-func (r *Registry) Vacant(now time.Duration) []netip.AddrPort {
+func (r *Registry) StaleRegistrations(now time.Duration) []netip.AddrPort {
 	if r.seats == nil {
 		return nil
 	}
--- a/core/lease/seats_test.go
+++ b/core/lease/seats_test.go
@@ -30,9 +30,9 @@
 }
 
 func newLeader(seats ...netip.AddrPort) *Registry {
-	r := NewRegistry(Options{Lease: 2 * time.Second, Collect: collect})
-	r.Lead(0, 2, nil)
-	r.SetSeats(seats)
+	r := NewRegistry(Options{LeaseDuration: 2 * time.Second, CollectionPeriod: collect})
+	r.StartEpoch(0, 2, nil)
+	r.SetRegisteredAgents(seats)
 	return r
 }
 
@@ -63,7 +63,7 @@
 		}
 	}
 	is.True(!partial)
-	is.Equal(r.Vacant(5*time.Second), []netip.AddrPort{seat(2)})
+	is.Equal(r.StaleRegistrations(5*time.Second), []netip.AddrPort{seat(2)})
 }
 
 func TestMembersTakeFlowsOnlyWithASeat(t *testing.T) {
@@ -71,14 +71,14 @@
 	r := newLeader(seat(1))
 	authoritative(t, r, 0, 1)
 	authoritative(t, r, 0, 2)
-	is.Equal(r.Unseated(), []netip.AddrPort{seat(2)})
+	is.Equal(r.UnregisteredAgents(), []netip.AddrPort{seat(2)})
 	v := r.Tick(collect)[0]
 	is.Equal(v.Members[0].TakesNew(), true)
 	is.Equal(v.Members[1].TakesNew(), false)
-	r.SetSeats([]netip.AddrPort{seat(1), seat(2)})
+	r.SetRegisteredAgents([]netip.AddrPort{seat(1), seat(2)})
 	v = r.Tick(collect + time.Second)[0]
 	is.Equal(v.Members[1].TakesNew(), true)
-	is.Equal(len(r.Unseated()), 0)
+	is.Equal(len(r.UnregisteredAgents()), 0)
 }
 
 func TestSeatIsGivenUpWhenItsBackendServerEnds(t *testing.T) {
@@ -87,14 +87,14 @@
 	authoritative(t, r, 0, 1)
 	authoritative(t, r, 0, 2)
 	r.Tick(collect)
-	is.Equal(len(r.Vacant(collect)), 0)
+	is.Equal(len(r.StaleRegistrations(collect)), 0)
 	is.NoErr(r.Announce(collect, 1, view.Announcement{
 		ID: "host-2", Incarnation: 1, Packets: seat(2), Authoritative: true, Draining: true, Ended: true,
 		Sequence: uint64(time.Second),
 	}))
-	is.Equal(r.Vacant(collect), []netip.AddrPort{seat(2)})
-	r.SetSeats([]netip.AddrPort{seat(1)})
-	is.Equal(len(r.Unseated()), 0)
+	is.Equal(r.StaleRegistrations(collect), []netip.AddrPort{seat(2)})
+	r.SetRegisteredAgents([]netip.AddrPort{seat(1)})
+	is.Equal(len(r.UnregisteredAgents()), 0)
 }
 
 func TestViewsDoNotWaitOnceEverySeatWasHeard(t *testing.T) {
@@ -114,9 +114,9 @@
 	authoritative(t, r, step, 1)
 	authoritative(t, r, step, 2)
 	is.Equal(len(r.Tick(step)), 0) // half of the seats
-	is.True(!r.Collected(step))
+	is.True(!r.CollectionComplete(step))
 	authoritative(t, r, 2*step, 3)
-	is.True(r.Collected(2 * step))
+	is.True(r.CollectionComplete(2 * step))
 	is.True(r.FirstViewsDue(2 * step))
 	first := r.Tick(2 * step)
 	is.Equal(len(first), 1)
@@ -149,7 +149,7 @@
 	is := is.New(t)
 	r := newLeader(seat(1), seat(2))
 	authoritative(t, r, 0, 1)
-	is.Equal(len(r.Vacant(collect)), 0)
+	is.Equal(len(r.StaleRegistrations(collect)), 0)
 	authoritative(t, r, 4*time.Second, 1)
-	is.Equal(r.Vacant(4*time.Second), []netip.AddrPort{seat(2)}) // two lease times have passed
+	is.Equal(r.StaleRegistrations(4*time.Second), []netip.AddrPort{seat(2)}) // two lease times have passed
 }
--- a/core/lease/status.go
+++ b/core/lease/status.go
@@ -8,8 +8,8 @@
 	"fulmarmount.org/core/view"
 )
 
-// Status is what operators see of one backend server.
-type Status struct {
+// MemberStatus is what operators see of one backend server.
+type MemberStatus struct {
 	ID          string           `json:"id"`
 	Service     view.ServiceID   `json:"service"`
 	Zone        string           `json:"zone"`
@@ -20,26 +20,26 @@
 	Flows uint32 `json:"flows"`
 	// Load is the number of requests running or queued.
 	Load uint32 `json:"load"`
-	// Unheard is the time since the last announcement.
-	Unheard time.Duration `json:"unheard_ns"`
+	// AnnouncementAge is the time since the last announcement.
+	AnnouncementAge time.Duration `json:"unheard_ns"`
 	// Reasons tell why the member gets no new flows, or would get none if more
 	// of its service were in force.
 	Reasons []string `json:"reasons,omitempty"`
 }
 
-// Status returns the members of a service in the order of their IDs.
-func (r *Registry) Status(now time.Duration, id view.ServiceID) []Status {
+// MemberStatuses returns the members of a service in the order of their IDs.
+func (r *Registry) MemberStatuses(now time.Duration, id view.ServiceID) []MemberStatus {
 	s := r.services[id]
 	if s == nil {
 		return nil
 	}
-	out := make([]Status, 0, len(s.members))
+	out := make([]MemberStatus, 0, len(s.members))
 	for _, key := range slices.Sorted(maps.Keys(s.members)) {
 		m := s.members[key]
 		a := &m.announcement
-		out = append(out, Status{
+		out = append(out, MemberStatus{
 			ID: m.id, Service: id, Zone: a.Zone, Incarnation: a.Incarnation, State: m.state.String(), Weight: m.weight,
-			Flows: a.Flows, Load: a.Load, Unheard: now - m.heard, Reasons: r.reasons(now, m),
+			Flows: a.Flows, Load: a.Load, AnnouncementAge: now - m.heard, Reasons: r.reasons(now, m),
 		})
 	}
 	return out
--- a/internal/role/control/configuration.go
+++ b/internal/role/control/configuration.go
@@ -49,10 +49,10 @@
 // registryOptions returns what the settings mean for membership.
 func (o *Options) registryOptions(s fleet.Settings) lease.Options {
 	return lease.Options{
-		Lease:      s.Lease,
-		Collect:    o.Collect,
-		WarmFor:    s.Warming,
-		MaxEjected: float64(s.MaxEjected) / 100,
+		LeaseDuration:    s.Lease,
+		CollectionPeriod: o.Collect,
+		WarmUpDuration:   s.Warming,
+		MaxEjectedShare:  float64(s.MaxEjected) / 100,
 	}
 }
 
@@ -82,7 +82,7 @@
 // process came to lead.
 func (c *term) adoptFirst(m *fleet.Machine) {
 	c.mu.Lock()
-	c.registry.SetSeats(m.Seats())
+	c.registry.SetRegisteredAgents(m.Seats())
 	c.mu.Unlock()
 	c.adopt(m)
 }
@@ -145,7 +145,7 @@
 // holds the lock.
 func (c *term) setWeights() {
 	resolver := c.configuration.resolver
-	c.registry.SetWeights(func(a *view.Announcement) uint32 {
+	c.registry.SetWeightFunc(func(a *view.Announcement) uint32 {
 		return resolver.Effective(fleet.Target{Service: a.Service, Zone: a.Zone, BackendServer: a.ID}).Weight
 	})
 }
--- a/internal/role/control/daemons.go
+++ b/internal/role/control/daemons.go
@@ -104,7 +104,7 @@
 	defer c.mu.Unlock()
 	var members []admin.Member
 	for _, name := range slices.Sorted(maps.Keys(c.services)) {
-		for _, b := range c.registry.Status(c.elapsed(), c.services[name].ID) {
+		for _, b := range c.registry.MemberStatuses(c.elapsed(), c.services[name].ID) {
 			members = append(members, admin.Member{
 				Service: name, ID: b.ID, Zone: b.Zone, State: b.State, Weight: b.Weight,
 				Flows: b.Flows, Load: b.Load, Reasons: b.Reasons,
--- a/internal/role/control/dump.go
+++ b/internal/role/control/dump.go
@@ -19,7 +19,7 @@
 	Services []proto.Service `json:"services"`
 	// BackendServers are the members of all services, with what keeps them from
 	// new flows.
-	BackendServers []lease.Status `json:"backend_servers"`
+	BackendServers []lease.MemberStatus `json:"backend_servers"`
 }
 
 // Dump returns the state of the process.
@@ -38,7 +38,7 @@
 	for _, name := range slices.Sorted(maps.Keys(c.services)) {
 		s := c.services[name]
 		d.Services = append(d.Services, s)
-		d.BackendServers = append(d.BackendServers, c.registry.Status(c.elapsed(), s.ID)...)
+		d.BackendServers = append(d.BackendServers, c.registry.MemberStatuses(c.elapsed(), s.ID)...)
 	}
 }
 
@@ -66,7 +66,7 @@
 	defer c.mu.Unlock()
 	s := c.registry.Stats()
 	return Counters{
-		Members: s.Members, Announcements: s.Announcements, Replayed: s.Replayed, Invalid: s.Invalid,
-		Lapses: s.Lapses, Spared: s.Spared, Views: s.Views,
+		Members: s.Members, Announcements: s.Announcements, Replayed: s.ReplayedAnnouncements, Invalid: s.InvalidAnnouncements,
+		Lapses: s.ExpiredLeases, Spared: s.SkippedEjections, Views: s.PublishedViews,
 	}
 }
--- a/internal/role/control/manual.go
+++ b/internal/role/control/manual.go
@@ -34,7 +34,7 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.registry.SetWeights(func(a *view.Announcement) uint32 {
+	t.registry.SetWeightFunc(func(a *view.Announcement) uint32 {
 		if w, ok := weights[a.ID]; ok {
 			return w
 		}
--- a/internal/role/control/seats.go
+++ b/internal/role/control/seats.go
@@ -18,7 +18,7 @@
 	if c.seating || c.options.Fleet == nil {
 		return
 	}
-	change := fleet.SeatChange{Taken: c.registry.Unseated(), Left: c.registry.Vacant(c.elapsed())}
+	change := fleet.SeatChange{Taken: c.registry.UnregisteredAgents(), Left: c.registry.StaleRegistrations(c.elapsed())}
 	if len(change.Taken)+len(change.Left) == 0 {
 		return
 	}
@@ -40,5 +40,5 @@
 	}
 	c.options.Log.Info("Noted which agents there are.",
 		zap.Stringers("taken", change.Taken), zap.Stringers("left", change.Left))
-	c.options.Fleet.Peek(func(m *fleet.Machine) { c.registry.SetSeats(m.Seats()) })
+	c.options.Fleet.Peek(func(m *fleet.Machine) { c.registry.SetRegisteredAgents(m.Seats()) })
 }
--- a/internal/role/control/term.go
+++ b/internal/role/control/term.go
@@ -69,7 +69,7 @@
 		return nil, err
 	}
 	c.ctx, c.cancel = context.WithCancel(ctx)
-	c.registry.Lead(0, epoch, nil)
+	c.registry.StartEpoch(0, epoch, nil)
 	go c.publisher.Run(c.ctx)
 	go c.run(c.ctx)
 	if o.Fleet != nil {
--- a/tools/capacity/measure_control.go
+++ b/tools/capacity/measure_control.go
@@ -131,7 +131,7 @@
 
 func registryOf(hosts int) *lease.Registry {
 	r := lease.NewRegistry(lease.Options{})
-	r.Lead(0, 1, nil)
+	r.StartEpoch(0, 1, nil)
 	for i := range hosts {
 		must(r.Announce(0, view.ServiceID(i/hostsPerService+1), announcement(i)))
 	}
