--- a/core/spread/bench_test.go
+++ b/core/spread/bench_test.go
@@ -28,7 +28,7 @@
 
 func publishBench(b *testing.B, root *Root, service int) {
 	b.Helper()
-	it := Item{Key: fmt.Sprint("view/", service), Version: root.Next(), Body: make([]byte, benchBody)}
+	it := Item{Key: fmt.Sprint("view/", service), Version: root.NextVersion(), Body: make([]byte, benchBody)}
 	if _, err := root.Publish(it); err != nil {
 		b.Fatal(err)
 	}
@@ -52,7 +52,7 @@
 	l.up(now, Output{Messages: l.take(now, all)})
 }
 
-func (l *benchLink) take(now time.Duration, all []Delivery) (answers []Up) {
+func (l *benchLink) take(now time.Duration, all []Delivery) (answers []UpstreamMessage) {
 	for _, d := range all {
 		if d.Message.Batch != nil {
 			for _, c := range d.Message.Batch.Changes {
@@ -70,7 +70,7 @@
 	for _, services := range []int{20, 1900, benchServices} {
 		b.Run(fmt.Sprintf("delta/services=%d", services), func(b *testing.B) {
 			root := benchRoot(b, services)
-			l := &benchLink{root: root, sink: NewSink(0, NewStore(StoreOptions{}), SinkOptions{ID: "d"})}
+			l := &benchLink{root: root, sink: NewSink(0, NewStore(StoreOptions{}), SinkOptions{DaemonID: "d"})}
 			l.up(0, l.sink.Connect(0, 1))
 			l.bytes = 0
 			b.ReportAllocs()
@@ -104,14 +104,14 @@
 	for _, missed := range []int{500, benchServices} {
 		b.Run(fmt.Sprintf("missed=%d", missed), func(b *testing.B) {
 			root := benchRoot(b, benchServices)
-			l := &benchLink{root: root, sink: NewSink(0, NewStore(StoreOptions{}), SinkOptions{ID: "d"})}
+			l := &benchLink{root: root, sink: NewSink(0, NewStore(StoreOptions{}), SinkOptions{DaemonID: "d"})}
 			l.up(0, l.sink.Connect(0, 1))
 			l.bytes = 0
 			session := uint64(1)
 			b.ResetTimer()
 			for range b.N {
 				b.StopTimer()
-				root.Disconnected(0, 1)
+				root.Disconnect(0, 1)
 				for i := range missed {
 					publishBench(b, root, i)
 				}
@@ -131,8 +131,8 @@
 		b.Run(fmt.Sprintf("subscribers=%d", subscribers), func(b *testing.B) {
 			root := benchRoot(b, benchServices)
 			for peer := range PeerID(subscribers) {
-				root.Receive(0, peer, Up{Session: 1, Subscribe: &Subscribe{
-					ID: fmt.Sprint(peer), Position: root.Store().Position(),
+				root.Receive(0, peer, UpstreamMessage{Session: 1, Subscribe: &Subscribe{
+					DaemonID: fmt.Sprint(peer), Position: root.Store().Position(),
 				}})
 			}
 			root.Tick(0)
@@ -140,7 +140,7 @@
 			for i := range b.N {
 				publishBench(b, root, i%benchServices)
 				for _, d := range root.Tick(0) {
-					root.Receive(0, d.Peer, Up{Session: 1, Ack: &Ack{Received: d.Message.Batch.To}})
+					root.Receive(0, d.Peer, UpstreamMessage{Session: 1, Ack: &Ack{Received: d.Message.Batch.To}})
 				}
 			}
 			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*subscribers), "ns/subscriber")
--- a/core/spread/example_test.go
+++ b/core/spread/example_test.go
@@ -20,16 +20,16 @@
 		fmt.Println(err)
 		return
 	}
-	sink := spread.NewSink(now, spread.NewStore(spread.StoreOptions{}), spread.SinkOptions{ID: "balancer-1"})
+	sink := spread.NewSink(now, spread.NewStore(spread.StoreOptions{}), spread.SinkOptions{DaemonID: "balancer-1"})
 
 	const connection = spread.PeerID(1)
-	take := func(out spread.Output) []spread.Up {
-		for _, it := range out.Adopted {
+	take := func(out spread.Output) []spread.UpstreamMessage {
+		for _, it := range out.Applied {
 			fmt.Printf("%s %v %s\n", it.Key, it.Version, it.Body)
 		}
 		return out.Messages
 	}
-	pass := func(queue []spread.Up) {
+	pass := func(queue []spread.UpstreamMessage) {
 		for ; len(queue) > 0; queue = queue[1:] {
 			for _, d := range root.Receive(now, connection, queue[0]) {
 				queue = append(queue, take(sink.Receive(now, d.Message))...)
@@ -37,12 +37,12 @@
 		}
 	}
 
-	at, err := root.Publish(spread.Item{Key: "service/7", Version: root.Next(), Body: []byte("weight=100")})
+	at, err := root.Publish(spread.Item{Key: "service/7", Version: root.NextVersion(), Body: []byte("weight=100")})
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
-	root.Confirm(now) // A quorum agreed that this root is the only one.
+	root.RecordConfirmation(now) // A quorum agreed that this root is the only one.
 	pass(take(sink.Connect(now, 1)))
 	for range 5 {
 		now += 250 * time.Millisecond
@@ -51,7 +51,7 @@
 		}
 		pass(take(sink.Tick(now)))
 	}
-	fmt.Println("in force at", root.Progress(at).InForce, "of", root.Progress(at).Total)
+	fmt.Println("in force at", root.Progress(at).Applied, "of", root.Progress(at).Total)
 	// Output:
 	// service/7 1.1 weight=100
 	// in force at 1 of 1
--- a/core/spread/item.go
+++ b/core/spread/item.go
@@ -11,19 +11,19 @@
 var Errors = errorx.NewNamespace("spread")
 
 var (
-	// ErrVersion is returned for an item whose version is not newer than the
+	// ErrStaleVersion is returned for an item whose version is not newer than the
 	// one held.
-	ErrVersion = Errors.NewType("version")
-	// ErrEpoch is returned for an epoch that is not newer than the one held.
-	ErrEpoch = Errors.NewType("epoch")
-	// ErrItem is returned for an item that cannot be disseminated.
-	ErrItem = Errors.NewType("item")
+	ErrStaleVersion = Errors.NewType("version")
+	// ErrStaleEpoch is returned for an epoch that is not newer than the one held.
+	ErrStaleEpoch = Errors.NewType("epoch")
+	// ErrInvalidItem is returned for an item that cannot be disseminated.
+	ErrInvalidItem = Errors.NewType("item")
 )
 
 // Limits of an item, in bytes.
 const (
-	MaxKey  = 256
-	MaxBody = 1 << 20
+	MaxKeyBytes  = 256
+	MaxBodyBytes = 1 << 20
 )
 
 // Position is a point in the root's sequence of changes: the root's epoch and
@@ -54,12 +54,12 @@
 
 func (it *Item) check() error {
 	switch {
-	case it.Key == "" || len(it.Key) > MaxKey:
-		return ErrItem.New("key %.40q has %d bytes, want 1 to %d", it.Key, len(it.Key), MaxKey)
-	case len(it.Body) > MaxBody:
-		return ErrItem.New("body of key %q has %d bytes, at most %d allowed", it.Key, len(it.Body), MaxBody)
+	case it.Key == "" || len(it.Key) > MaxKeyBytes:
+		return ErrInvalidItem.New("key %.40q has %d bytes, want 1 to %d", it.Key, len(it.Key), MaxKeyBytes)
+	case len(it.Body) > MaxBodyBytes:
+		return ErrInvalidItem.New("body of key %q has %d bytes, at most %d allowed", it.Key, len(it.Body), MaxBodyBytes)
 	case it.Deleted && len(it.Body) > 0:
-		return ErrItem.New("deleted key %q has a body", it.Key)
+		return ErrInvalidItem.New("deleted key %q has a body", it.Key)
 	}
 	return nil
 }
--- a/core/spread/message.go
+++ b/core/spread/message.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Up is one message from a Sink to its Source. Exactly one pointer is set.
-type Up struct {
+// UpstreamMessage is one message from a Sink to its Source. Exactly one pointer is set.
+type UpstreamMessage struct {
 	// Session tells the daemon's sessions apart. It is never reused, and grows
 	// within a connection.
 	Session   uint64     `cbor:"1,keyasint"`
@@ -12,8 +12,8 @@
 	Compare   *Compare   `cbor:"4,keyasint,omitempty"`
 }
 
-// Down is one message from a Source to a Sink. Exactly one pointer is set.
-type Down struct {
+// DownstreamMessage is one message from a Source to a Sink. Exactly one pointer is set.
+type DownstreamMessage struct {
 	// Session is that of the Subscribe.
 	Session uint64   `cbor:"1,keyasint"`
 	Batch   *Batch   `cbor:"2,keyasint,omitempty"`
@@ -24,40 +24,40 @@
 
 // Subscribe opens a session.
 type Subscribe struct {
-	// ID names the daemon.
-	ID string `cbor:"1,keyasint"`
+	// DaemonID names the daemon.
+	DaemonID string `cbor:"1,keyasint"`
 	// Position is what the daemon holds already.
 	Position Position `cbor:"2,keyasint"`
 	// Keys restricts the session to some keys; empty means every key.
 	Keys []string `cbor:"3,keyasint,omitempty"`
-	// Relay is set by a relay, whose Ack carries a Summary.
-	Relay bool `cbor:"4,keyasint,omitempty"`
-	// Rebuild asks for the whole state, after such a transfer was cut.
-	Rebuild bool `cbor:"5,keyasint,omitempty"`
+	// IsRelay is set by a relay, whose Ack carries a Summary.
+	IsRelay bool `cbor:"4,keyasint,omitempty"`
+	// FullTransfer asks for the whole state, after such a transfer was cut.
+	FullTransfer bool `cbor:"5,keyasint,omitempty"`
 }
 
 // Ack tells what was received and what is in force, and asks for a Status.
 type Ack struct {
 	// Received is the end of the last batch taken.
 	Received Position `cbor:"1,keyasint"`
-	// InForce is the last position of which everything is in force.
-	InForce Position `cbor:"2,keyasint"`
-	// Transfer is the whole-state transfer that Received belongs to.
-	Transfer uint32 `cbor:"3,keyasint,omitempty"`
+	// Applied is the last position of which everything is in force.
+	Applied Position `cbor:"2,keyasint"`
+	// TransferID is the whole-state transfer that Received belongs to.
+	TransferID uint32 `cbor:"3,keyasint,omitempty"`
 	// Nonce asks for a Status; 0 asks for none.
 	Nonce uint64 `cbor:"4,keyasint,omitempty"`
 	// Summary covers the daemons behind a relay.
-	Summary *Summary `cbor:"5,keyasint,omitempty"`
-	// Ahead lists items that are newer here than at the Source.
-	Ahead []KeyVersion `cbor:"6,keyasint,omitempty"`
+	Summary *RelaySummary `cbor:"5,keyasint,omitempty"`
+	// NewerVersions lists items that are newer here than at the Source.
+	NewerVersions []KeyVersion `cbor:"6,keyasint,omitempty"`
 }
 
 // Compare asks for the differences at a position at which the digests of the
 // state differ.
 type Compare struct {
 	Position Position `cbor:"1,keyasint"`
-	// Buckets holds the digest of each bucket of keys.
-	Buckets []uint64 `cbor:"2,keyasint"`
+	// BucketDigests holds the digest of each bucket of keys.
+	BucketDigests []uint64 `cbor:"2,keyasint"`
 }
 
 // EpochStart tells at which number an epoch began: its first change is
@@ -72,11 +72,11 @@
 	From    Position `cbor:"1,keyasint"`
 	To      Position `cbor:"2,keyasint"`
 	Changes []Change `cbor:"3,keyasint"`
-	// More is set while further batches are due before the state is complete.
-	More bool `cbor:"4,keyasint,omitempty"`
-	// Transfer, if not 0, numbers a whole-state transfer of the session: at
+	// HasMore is set while further batches are due before the state is complete.
+	HasMore bool `cbor:"4,keyasint,omitempty"`
+	// TransferID, if not 0, numbers a whole-state transfer of the session: at
 	// its end, keys that it did not contain are gone.
-	Transfer uint32 `cbor:"5,keyasint,omitempty"`
+	TransferID uint32 `cbor:"5,keyasint,omitempty"`
 	// Epochs lists the latest epochs, where the batch enters a new one.
 	Epochs []EpochStart `cbor:"6,keyasint,omitempty"`
 }
@@ -85,14 +85,14 @@
 type Status struct {
 	Nonce uint64 `cbor:"1,keyasint"`
 	// From and Through bound a range without changes for the subscriber.
-	From    Position `cbor:"2,keyasint"`
-	Through Position `cbor:"3,keyasint"`
+	From Position `cbor:"2,keyasint"`
+	To   Position `cbor:"3,keyasint"`
 	// Head is the position that the Source holds.
 	Head Position `cbor:"4,keyasint"`
 	// Confirmed is set if a quorum confirmed, Age ago, that the root was the
 	// only one; Head includes everything published before that.
-	Confirmed bool          `cbor:"5,keyasint,omitempty"`
-	Age       time.Duration `cbor:"6,keyasint,omitempty"`
+	Confirmed       bool          `cbor:"5,keyasint,omitempty"`
+	ConfirmationAge time.Duration `cbor:"6,keyasint,omitempty"`
 	// Digest covers the subscriber's keys at Through.
 	Digest uint64 `cbor:"7,keyasint,omitempty"`
 	// HasDigest is set if Digest is valid.
--- a/core/spread/reconnect.go
+++ b/core/spread/reconnect.go
@@ -11,11 +11,11 @@
 
 // BackoffOptions configures a Backoff.
 type BackoffOptions struct {
-	// Spread is the range of the first delay. The longer it is, the slower a
+	// InitialRange is the range of the first delay. The longer it is, the slower a
 	// crowd of daemons comes back. Zero means 2 s.
-	Spread time.Duration
-	// Max bounds the range of later delays; zero means 1 minute.
-	Max time.Duration
+	InitialRange time.Duration
+	// MaxRange bounds the range of later delays; zero means 1 minute.
+	MaxRange time.Duration
 	// Rand draws the delays. It is required.
 	Rand *rand.Rand
 }
@@ -32,20 +32,20 @@
 
 // NewBackoff returns a Backoff without failures.
 func NewBackoff(opts BackoffOptions) *Backoff {
-	setDefault(&opts.Spread, 2*time.Second)
-	setDefault(&opts.Max, time.Minute)
+	setDefault(&opts.InitialRange, 2*time.Second)
+	setDefault(&opts.MaxRange, time.Minute)
 	return &Backoff{opts: opts}
 }
 
 // Next returns the delay before the next attempt, and at least floor.
 func (b *Backoff) Next(floor time.Duration) time.Duration {
-	limit := min(b.opts.Spread<<min(b.failures, maxDoublings), b.opts.Max)
+	limit := min(b.opts.InitialRange<<min(b.failures, maxDoublings), b.opts.MaxRange)
 	b.failures++
 	return floor + time.Duration(b.opts.Rand.Int64N(int64(limit)+1))
 }
 
-// Succeeded makes the next delay short again.
-func (b *Backoff) Succeeded() { b.failures = 0 }
+// Reset makes the next delay short again.
+func (b *Backoff) Reset() { b.failures = 0 }
 
 // RelayOrder returns the order in which a daemon tries relays. It spreads
 // daemons evenly, and those of a lost relay over all others.
--- a/core/spread/relay.go
+++ b/core/spread/relay.go
@@ -19,7 +19,7 @@
 // NewRelay returns a Relay that holds nothing.
 func NewRelay(now time.Duration, up SinkOptions, down SourceOptions) *Relay {
 	store := NewStore(StoreOptions{})
-	up.Relay = true
+	up.IsRelay = true
 	return &Relay{sink: NewSink(now, store, up), source: NewSource(store, down)}
 }
 
@@ -35,15 +35,15 @@
 	return r.output(r.sink.Connect(now, session))
 }
 
-// ReceiveDown takes a message of the Source above.
-func (r *Relay) ReceiveDown(now time.Duration, m Down) RelayOutput {
+// ReceiveFromSource takes a message of the Source above.
+func (r *Relay) ReceiveFromSource(now time.Duration, m DownstreamMessage) RelayOutput {
 	out := r.output(r.sink.Receive(now, m))
 	out.Deliveries = r.source.Tick(now)
 	return out
 }
 
-// ReceiveUp takes a message of a subscriber.
-func (r *Relay) ReceiveUp(now time.Duration, peer PeerID, m Up) RelayOutput {
+// ReceiveFromSubscriber takes a message of a subscriber.
+func (r *Relay) ReceiveFromSubscriber(now time.Duration, peer PeerID, m UpstreamMessage) RelayOutput {
 	return RelayOutput{Deliveries: r.source.Receive(now, peer, m)}
 }
 
@@ -65,7 +65,7 @@
 		}
 		summary := r.source.Summary()
 		m.Ack.Summary = &summary
-		m.Ack.Ahead = append(m.Ack.Ahead, r.source.TakeAhead()...)
+		m.Ack.NewerVersions = append(m.Ack.NewerVersions, r.source.TakeNewerVersions()...)
 	}
 	return RelayOutput{Output: out}
 }
--- a/core/spread/repair.go
+++ b/core/spread/repair.go
@@ -20,19 +20,19 @@
 // compare answers with the content of buckets that differ, as many as fit in
 // one chunk.
 func (s *Source) compare(sub *subscriber, m *Compare) []Delivery {
-	if m.Position != s.store.position || !s.store.whole() || len(m.Buckets) != digestBuckets {
+	if m.Position != s.store.position || !s.store.whole() || len(m.BucketDigests) != digestBuckets {
 		return nil
 	}
 	own := s.bucketsFor(sub)
 	var differs [digestBuckets]bool
 	for i := range own {
-		differs[i] = own[i] != m.Buckets[i]
+		differs[i] = own[i] != m.BucketDigests[i]
 	}
 	r := s.repair(sub, differs)
 	if len(r.Buckets) == 0 {
 		return nil
 	}
-	return []Delivery{{Peer: sub.peer, Message: Down{Session: sub.session, Repair: r}}}
+	return []Delivery{{Peer: sub.peer, Message: DownstreamMessage{Session: sub.session, Repair: r}}}
 }
 
 func (s *Source) repair(sub *subscriber, differs [digestBuckets]bool) *Repair {
@@ -49,7 +49,7 @@
 	r := &Repair{Position: s.store.position}
 	size := 0
 	for i, differs := range differs {
-		if size += sizes[i]; !differs || size > s.opts.ChunkBytes && len(r.Buckets) > 0 {
+		if size += sizes[i]; !differs || size > s.opts.MaxBatchBytes && len(r.Buckets) > 0 {
 			continue
 		}
 		r.Buckets = append(r.Buckets, uint16(i))
@@ -71,10 +71,10 @@
 	}
 }
 
-// TakeAhead returns the items that subscribers hold at a version newer than the
+// TakeNewerVersions returns the items that subscribers hold at a version newer than the
 // store's, which happens after a root was replaced before its last changes
 // spread. The root publishes each anew, or its deletion, at a newer version.
-func (s *Source) TakeAhead() []KeyVersion {
+func (s *Source) TakeNewerVersions() []KeyVersion {
 	var all []KeyVersion
 	for key, kv := range s.ahead {
 		if held, ok := s.store.items[key]; !ok || kv.Version.Newer(held.item.Version) {
--- a/core/spread/report.go
+++ b/core/spread/report.go
@@ -15,19 +15,19 @@
 // Laggard is a daemon that does not have the newest position in force.
 type Laggard struct {
 	ID      string   `cbor:"1,keyasint"`
-	InForce Position `cbor:"2,keyasint"`
-	// Departed is set if the daemon's connection was lost.
-	Departed bool `cbor:"3,keyasint,omitempty"`
+	Applied Position `cbor:"2,keyasint"`
+	// Disconnected is set if the daemon's connection was lost.
+	Disconnected bool `cbor:"3,keyasint,omitempty"`
 }
 
-// Summary tells what is in force at the daemons behind a relay.
-type Summary struct {
-	// Mark is the position that Lagging and Laggards refer to.
-	Mark Position `cbor:"1,keyasint"`
+// RelaySummary tells what is in force at the daemons behind a relay.
+type RelaySummary struct {
+	// Position is the position that Lagging and Laggards refer to.
+	Position Position `cbor:"1,keyasint"`
 	// Total is the number of daemons, those that departed lately included.
 	Total uint32 `cbor:"2,keyasint"`
-	// Lagging is the number of daemons at which Mark is not in force.
-	Lagging uint32 `cbor:"3,keyasint,omitempty"`
+	// LaggardCount is the number of daemons at which Mark is not in force.
+	LaggardCount uint32 `cbor:"3,keyasint,omitempty"`
 	// Laggards lists those furthest behind, in order.
 	Laggards []Laggard `cbor:"4,keyasint,omitempty"`
 }
@@ -36,8 +36,8 @@
 type Progress struct {
 	// Total is the number of daemons known.
 	Total int
-	// InForce is the number of daemons known to have the position in force.
-	InForce int
+	// Applied is the number of daemons known to have the position in force.
+	Applied int
 	// Laggards names some of the others, those furthest behind first.
 	Laggards []Laggard
 }
@@ -60,13 +60,13 @@
 }
 
 // Summary sums up the daemons below at the position that the store holds.
-func (s *Source) Summary() Summary {
+func (s *Source) Summary() RelaySummary {
 	p, behind := s.progress(s.store.complete)
-	return Summary{
-		Mark:     s.store.complete,
-		Total:    uint32(p.Total),
-		Lagging:  uint32(p.Total - p.InForce),
-		Laggards: lowest(behind),
+	return RelaySummary{
+		Position:     s.store.complete,
+		Total:        uint32(p.Total),
+		LaggardCount: uint32(p.Total - p.Applied),
+		Laggards:     lowest(behind),
 	}
 }
 
@@ -83,42 +83,42 @@
 		if sub.relay {
 			total, lagging, named := sub.summary.behind(at)
 			p.Total += total
-			p.InForce += total - lagging
+			p.Applied += total - lagging
 			behind = append(behind, named...)
 			continue
 		}
 		p.Total++
 		if at.Newer(sub.inForce) {
-			behind = append(behind, Laggard{ID: sub.id, InForce: sub.inForce})
+			behind = append(behind, Laggard{ID: sub.id, Applied: sub.inForce})
 			continue
 		}
-		p.InForce++
+		p.Applied++
 	}
 	for _, d := range s.departed {
 		p.Total++
 		if at.Newer(d.inForce) {
-			behind = append(behind, Laggard{ID: d.id, InForce: d.inForce, Departed: true})
+			behind = append(behind, Laggard{ID: d.id, Applied: d.inForce, Disconnected: true})
 			continue
 		}
-		p.InForce++
+		p.Applied++
 	}
 	return p, behind
 }
 
 // behind returns how many daemons of a relay are not known to have a position
 // in force, and the names that it gave of them.
-func (m *Summary) behind(at Position) (total, lagging int, named []Laggard) {
+func (m *RelaySummary) behind(at Position) (total, lagging int, named []Laggard) {
 	if m == nil {
 		return 0, 0, nil
 	}
 	for _, l := range m.Laggards {
-		if at.Newer(l.InForce) {
+		if at.Newer(l.Applied) {
 			named = append(named, l)
 		}
 	}
-	total, lagging = int(m.Total), int(m.Lagging)
+	total, lagging = int(m.Total), int(m.LaggardCount)
 	switch {
-	case at.Newer(m.Mark):
+	case at.Newer(m.Position):
 		return total, total, named
 	case len(named) < len(m.Laggards) || len(m.Laggards) == lagging:
 		return total, len(named), named // Every daemon behind was named.
@@ -129,7 +129,7 @@
 // lowest returns the daemons furthest behind, within the bound of a Summary.
 func lowest(all []Laggard) []Laggard {
 	slices.SortFunc(all, func(a, b Laggard) int {
-		return cmp.Or(a.InForce.Compare(b.InForce), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(a.Applied.Compare(b.Applied), cmp.Compare(a.ID, b.ID))
 	})
 	return all[:min(len(all), maxLaggards)]
 }
--- a/core/spread/root.go
+++ b/core/spread/root.go
@@ -16,7 +16,7 @@
 // newer than every one that the store has seen.
 func NewRoot(epoch uint64, store *Store, opts SourceOptions) (*Root, error) {
 	if epoch <= store.position.Epoch {
-		return nil, ErrEpoch.New("epoch %d is not newer than %d", epoch, store.position.Epoch)
+		return nil, ErrStaleEpoch.New("epoch %d is not newer than %d", epoch, store.position.Epoch)
 	}
 	if store.rebuilding {
 		store.relink()
@@ -27,8 +27,8 @@
 	return &Root{Source: NewSource(store, opts), epoch: epoch}, nil
 }
 
-// Next returns the version that an item published now may carry.
-func (r *Root) Next() Position {
+// NextVersion returns the version that an item published now may carry.
+func (r *Root) NextVersion() Position {
 	return Position{Epoch: r.epoch, Number: r.store.position.Number + 1}
 }
 
@@ -39,14 +39,14 @@
 		return Position{}, err
 	}
 	if held, ok := r.store.items[it.Key]; ok && !it.Version.Newer(held.item.Version) {
-		return Position{}, ErrVersion.New("key %q is at version %v, refused %v", it.Key, held.item.Version, it.Version)
+		return Position{}, ErrStaleVersion.New("key %q is at version %v, refused %v", it.Key, held.item.Version, it.Version)
 	}
-	at := r.Next()
+	at := r.NextVersion()
 	r.store.put(Change{Number: at.Number, Item: it})
 	r.store.advance(at, false)
 	return at, nil
 }
 
-// Confirm tells that a quorum confirmed this root as the only one, in a round
+// RecordConfirmation tells that a quorum confirmed this root as the only one, in a round
 // that began at a given time.
-func (r *Root) Confirm(began time.Duration) { r.confirm(began) }
+func (r *Root) RecordConfirmation(began time.Duration) { r.confirm(began) }
--- a/core/spread/schedule_test.go
+++ b/core/spread/schedule_test.go
@@ -31,8 +31,8 @@
 	peer  PeerID
 	lower *daemon
 	upper *daemon // nil: the root
-	up    []Up
-	down  []Down
+	up    []UpstreamMessage
+	down  []DownstreamMessage
 }
 
 // network runs root, relays and daemons under a random schedule.
@@ -71,13 +71,13 @@
 
 func (n *network) options() SourceOptions {
 	return SourceOptions{
-		BatchWindow: 200 * time.Millisecond, ChunkBytes: 120, WindowChunks: 2, MaxCatchUps: 2,
-		ResendAfter: time.Second, DepartedFor: 10 * time.Second, Rand: n.rand,
+		BatchWindow: 200 * time.Millisecond, MaxBatchBytes: 120, MaxInflightBatches: 2, MaxCatchUps: 2,
+		ResendAfter: time.Second, DisconnectedRetention: 10 * time.Second, Rand: n.rand,
 	}
 }
 
 func (n *network) restart(d *daemon) {
-	opts := SinkOptions{ID: d.name, SilentAfter: 4 * time.Second}
+	opts := SinkOptions{DaemonID: d.name, SourceTimeout: 4 * time.Second}
 	switch {
 	case d.relay != nil:
 		n.cut(func(l *link) bool { return l.upper == d })
@@ -100,9 +100,9 @@
 			kept = append(kept, l)
 			continue
 		}
-		l.lower.sink.Disconnected()
+		l.lower.sink.Disconnect()
 		l.lower.link = nil
-		n.source(l.upper).Disconnected(n.now, l.peer)
+		n.source(l.upper).Disconnect(n.now, l.peer)
 	}
 	n.links = kept
 }
@@ -134,7 +134,7 @@
 		d.link.up = append(d.link.up, out.Messages...)
 	}
 	n.deliver(out.Deliveries)
-	for _, it := range out.Adopted {
+	for _, it := range out.Applied {
 		if d.known == nil {
 			break
 		}
@@ -171,7 +171,7 @@
 			n.deliver(n.root.Receive(n.now, l.peer, *m))
 			return
 		}
-		n.take(l.upper, l.upper.relay.ReceiveUp(n.now, l.peer, *m))
+		n.take(l.upper, l.upper.relay.ReceiveFromSubscriber(n.now, l.peer, *m))
 		return
 	}
 	if len(l.down) == 0 {
@@ -181,7 +181,7 @@
 	switch {
 	case m == nil:
 	case l.lower.relay != nil:
-		n.take(l.lower, l.lower.relay.ReceiveDown(n.now, *m))
+		n.take(l.lower, l.lower.relay.ReceiveFromSource(n.now, *m))
 	default:
 		n.take(l.lower, RelayOutput{Output: l.lower.sink.Receive(n.now, *m)})
 	}
@@ -205,13 +205,13 @@
 
 func (n *network) tick(step time.Duration) {
 	n.now += step
-	n.root.Confirm(n.now)
+	n.root.RecordConfirmation(n.now)
 	n.deliver(n.root.Tick(n.now))
-	for _, kv := range n.root.TakeAhead() {
+	for _, kv := range n.root.TakeNewerVersions() {
 		n.publish(kv.Key)
 	}
 	for _, d := range n.all() {
-		if d.link == nil || d.sink.Silent(n.now) {
+		if d.link == nil || d.sink.SourceTimedOut(n.now) {
 			n.connect(d)
 		}
 		if d.relay != nil {
@@ -223,7 +223,7 @@
 }
 
 func (n *network) publish(key string) {
-	it := Item{Key: key, Version: n.root.Next(), Body: fmt.Append(nil, n.rand.Uint64())}
+	it := Item{Key: key, Version: n.root.NextVersion(), Body: fmt.Append(nil, n.rand.Uint64())}
 	if n.rand.IntN(5) == 0 {
 		it.Body, it.Deleted = nil, true
 	}
@@ -295,8 +295,8 @@
 
 func (n *network) checkConverged() {
 	for _, d := range n.leaves {
-		if d.sink.InForce() != n.root.Store().Position() && d.sink.opts.Keys == nil {
-			n.t.Fatalf("%s has %v in force, root is at %v", d.name, d.sink.InForce(), n.root.Store().Position())
+		if d.sink.Applied() != n.root.Store().Position() && d.sink.opts.Keys == nil {
+			n.t.Fatalf("%s has %v in force, root is at %v", d.name, d.sink.Applied(), n.root.Store().Position())
 		}
 		for _, it := range n.root.Store().Items() {
 			held, ok := d.sink.Store().items[it.Key]
@@ -311,7 +311,7 @@
 			n.t.Fatalf("%s has another digest than the root", d.name)
 		}
 	}
-	if p := n.root.Progress(n.durablePosition()); p.InForce != p.Total || p.Total != len(n.leaves)+1 {
+	if p := n.root.Progress(n.durablePosition()); p.Applied != p.Total || p.Total != len(n.leaves)+1 {
 		n.t.Fatalf("progress is %+v", p)
 	}
 }
--- a/core/spread/sink.go
+++ b/core/spread/sink.go
@@ -7,29 +7,29 @@
 
 // SinkOptions configures a Sink.
 type SinkOptions struct {
-	// ID names the daemon.
-	ID string
+	// DaemonID names the daemon.
+	DaemonID string
 	// Keys restricts what is adopted; empty means every key.
 	Keys []string
-	// Relay is set where a Source serves the same store.
-	Relay bool
-	// ProbeEvery is the interval at which the state is confirmed. Zero means
+	// IsRelay is set where a Source serves the same store.
+	IsRelay bool
+	// ProbeInterval is the interval at which the state is confirmed. Zero means
 	// 2 s.
-	ProbeEvery time.Duration
-	// CheckEvery replaces ProbeEvery until the state was first confirmed. Zero
+	ProbeInterval time.Duration
+	// SyncProbeInterval replaces ProbeEvery until the state was first confirmed. Zero
 	// means 250 ms.
-	CheckEvery time.Duration
-	// SilentAfter is when a silent Source is given up; zero means 10 s.
-	SilentAfter time.Duration
+	SyncProbeInterval time.Duration
+	// SourceTimeout is when a silent Source is given up; zero means 10 s.
+	SourceTimeout time.Duration
 }
 
 // Output is what a Sink asks of its caller.
 type Output struct {
 	// Messages go to the Source.
-	Messages []Up
-	// Adopted is now in force, in this order. Every version is newer than the
+	Messages []UpstreamMessage
+	// Applied is now in force, in this order. Every version is newer than the
 	// one that was in force for its key; only a deletion may repeat it.
-	Adopted []Item
+	Applied []Item
 	// RetryAfter, if not 0, tells that the Source refused the session: connect
 	// to another one, and not to this before RetryAfter.
 	RetryAfter time.Duration
@@ -86,21 +86,21 @@
 // NewSink returns a Sink that fills a store. The time is that of the process's
 // start or later.
 func NewSink(now time.Duration, store *Store, opts SinkOptions) *Sink {
-	setDefault(&opts.ProbeEvery, 2*time.Second)
-	setDefault(&opts.CheckEvery, 250*time.Millisecond)
-	setDefault(&opts.SilentAfter, 10*time.Second)
+	setDefault(&opts.ProbeInterval, 2*time.Second)
+	setDefault(&opts.SyncProbeInterval, 250*time.Millisecond)
+	setDefault(&opts.SourceTimeout, 10*time.Second)
 	return &Sink{opts: opts, store: store, started: now}
 }
 
 // Store returns the store that is filled.
 func (s *Sink) Store() *Store { return s.store }
 
-// Checked reports whether the state is in force: it was confirmed, after the
+// HasSynced reports whether the state is in force: it was confirmed, after the
 // start, to be no older than the start.
-func (s *Sink) Checked() bool { return s.checked }
+func (s *Sink) HasSynced() bool { return s.checked }
 
-// InForce returns the position of which everything is in force.
-func (s *Sink) InForce() Position {
+// Applied returns the position of which everything is in force.
+func (s *Sink) Applied() Position {
 	if !s.checked {
 		return Position{}
 	}
@@ -111,9 +111,9 @@
 // false until the state was first confirmed.
 func (s *Sink) AsOf() (at time.Duration, ok bool) { return s.asOf, s.dated }
 
-// Silent reports whether the Source should be given up for another.
-func (s *Sink) Silent(now time.Duration) bool {
-	return s.open && now-s.heardAt >= s.opts.SilentAfter
+// SourceTimedOut reports whether the Source should be given up for another.
+func (s *Sink) SourceTimedOut(now time.Duration) bool {
+	return s.open && now-s.heardAt >= s.opts.SourceTimeout
 }
 
 // Connect opens a session with a Source. The session number must not have been
@@ -121,37 +121,37 @@
 func (s *Sink) Connect(now time.Duration, session uint64) Output {
 	s.session, s.open, s.heardAt = session, true, now
 	s.transfer, s.cursor, s.probes = 0, Position{}, nil
-	s.checkAfter = min(firstCheck, s.opts.CheckEvery)
+	s.checkAfter = min(firstCheck, s.opts.SyncProbeInterval)
 	var out Output
-	out.Messages = append(out.Messages, s.up(Up{Subscribe: &Subscribe{
-		ID:       s.opts.ID,
-		Position: s.store.position,
-		Keys:     s.opts.Keys,
-		Relay:    s.opts.Relay,
-		Rebuild:  s.store.rebuilding,
+	out.Messages = append(out.Messages, s.up(UpstreamMessage{Subscribe: &Subscribe{
+		DaemonID:     s.opts.DaemonID,
+		Position:     s.store.position,
+		Keys:         s.opts.Keys,
+		IsRelay:      s.opts.IsRelay,
+		FullTransfer: s.store.rebuilding,
 	}}))
 	out.Messages = append(out.Messages, s.probe(now))
 	return out
 }
 
-// Disconnected tells that the connection was lost. What is in force stays.
-func (s *Sink) Disconnected() { s.open = false }
+// Disconnect tells that the connection was lost. What is in force stays.
+func (s *Sink) Disconnect() { s.open = false }
 
 // Tick sends a probe when one is due.
 func (s *Sink) Tick(now time.Duration) Output {
-	every := s.opts.ProbeEvery
+	every := s.opts.ProbeInterval
 	if !s.checked {
 		every = s.checkAfter
 	}
 	if !s.open || now-s.probedAt < every {
 		return Output{}
 	}
-	s.checkAfter = min(2*s.checkAfter, s.opts.CheckEvery)
-	return Output{Messages: []Up{s.probe(now)}}
+	s.checkAfter = min(2*s.checkAfter, s.opts.SyncProbeInterval)
+	return Output{Messages: []UpstreamMessage{s.probe(now)}}
 }
 
 // Receive takes a message of the Source.
-func (s *Sink) Receive(now time.Duration, m Down) Output {
+func (s *Sink) Receive(now time.Duration, m DownstreamMessage) Output {
 	if !s.open || m.Session != s.session {
 		return Output{}
 	}
@@ -174,7 +174,7 @@
 func (s *Sink) batch(b *Batch) Output {
 	var adopted []Item
 	var ok bool
-	if b.Transfer != 0 {
+	if b.TransferID != 0 {
 		adopted, ok = s.rebuild(b)
 	} else {
 		adopted, ok = s.continueWith(b)
@@ -183,7 +183,7 @@
 		return Output{}
 	}
 	out := s.release(adopted)
-	out.Messages = append(out.Messages, s.ack(Ack{Received: b.To, Transfer: b.Transfer}))
+	out.Messages = append(out.Messages, s.ack(Ack{Received: b.To, TransferID: b.TransferID}))
 	return out
 }
 
@@ -201,17 +201,17 @@
 			adopted = append(adopted, c.Item)
 		}
 	}
-	s.store.advance(b.To, b.More)
+	s.store.advance(b.To, b.HasMore)
 	return adopted, true
 }
 
 // rebuild applies one batch of a whole-state transfer.
 func (s *Sink) rebuild(b *Batch) (adopted []Item, ok bool) {
-	if b.Transfer < s.transfer || b.Transfer > s.transfer && b.From != (Position{}) {
+	if b.TransferID < s.transfer || b.TransferID > s.transfer && b.From != (Position{}) {
 		return nil, false
 	}
-	if b.Transfer > s.transfer {
-		s.transfer, s.cursor = b.Transfer, Position{}
+	if b.TransferID > s.transfer {
+		s.transfer, s.cursor = b.TransferID, Position{}
 		s.store.beginRebuild()
 	}
 	if !s.store.rebuilding { // The end was sent again, with later changes.
@@ -230,7 +230,7 @@
 			adopted = append(adopted, c.Item)
 		}
 	}
-	if b.More {
+	if b.HasMore {
 		return adopted, true
 	}
 	adopted = append(adopted, s.store.endRebuild(b.To)...)
@@ -245,10 +245,10 @@
 		return Output{}
 	}
 	if st.Confirmed {
-		s.aim(goal{head: st.Head, asOf: sent.sentAt - widen(st.Age)})
+		s.aim(goal{head: st.Head, asOf: sent.sentAt - widen(st.ConfirmationAge)})
 	}
-	if !s.store.rebuilding && !st.From.Newer(s.store.position) && st.Through.Newer(s.store.position) {
-		s.store.advance(st.Through, false)
+	if !s.store.rebuilding && !st.From.Newer(s.store.position) && st.To.Newer(s.store.position) {
+		s.store.advance(st.To, false)
 	}
 	checked := s.checked
 	out := s.release(nil)
@@ -256,16 +256,16 @@
 		out.Messages = append(out.Messages, s.ack(Ack{Received: s.store.position}))
 	}
 	if s.diverged(st) {
-		out.Messages = append(out.Messages, s.up(Up{Compare: &Compare{
-			Position: s.store.position,
-			Buckets:  append([]uint64(nil), s.store.buckets[:]...),
+		out.Messages = append(out.Messages, s.up(UpstreamMessage{Compare: &Compare{
+			Position:      s.store.position,
+			BucketDigests: append([]uint64(nil), s.store.buckets[:]...),
 		}}))
 	}
 	return out
 }
 
 func (s *Sink) diverged(st *Status) bool {
-	return st.HasDigest && s.store.whole() && st.Through == s.store.position && st.Digest != s.store.Digest()
+	return st.HasDigest && s.store.whole() && st.To == s.store.position && st.Digest != s.store.Digest()
 }
 
 // repair takes the Source's content of buckets that differed.
@@ -277,8 +277,8 @@
 	out := s.release(adopted)
 	if len(ahead) > 0 {
 		out.Messages = append(out.Messages, s.ack(Ack{
-			Received: s.store.position,
-			Ahead:    ahead[:min(len(ahead), maxAhead)],
+			Received:      s.store.position,
+			NewerVersions: ahead[:min(len(ahead), maxAhead)],
 		}))
 	}
 	return out
@@ -296,7 +296,7 @@
 		adopted = s.store.Items()
 	}
 	s.store.adopted(adopted)
-	return Output{Adopted: adopted}
+	return Output{Applied: adopted}
 }
 
 // aim adds a goal. Goals beyond the bound are left out, so that a stream of
@@ -323,17 +323,17 @@
 	})
 }
 
-func (s *Sink) up(m Up) Up {
+func (s *Sink) up(m UpstreamMessage) UpstreamMessage {
 	m.Session = s.session
 	return m
 }
 
-func (s *Sink) ack(a Ack) Up {
-	a.InForce = s.InForce()
-	return s.up(Up{Ack: &a})
+func (s *Sink) ack(a Ack) UpstreamMessage {
+	a.Applied = s.Applied()
+	return s.up(UpstreamMessage{Ack: &a})
 }
 
-func (s *Sink) probe(now time.Duration) Up {
+func (s *Sink) probe(now time.Duration) UpstreamMessage {
 	s.nonce++
 	s.probedAt = now
 	s.probes = append(s.probes, probe{nonce: s.nonce, sentAt: now})
--- a/core/spread/source.go
+++ b/core/spread/source.go
@@ -13,7 +13,7 @@
 // deliveries: do not change them.
 type Delivery struct {
 	Peer    PeerID
-	Message Down
+	Message DownstreamMessage
 }
 
 // SourceOptions configures a Source.
@@ -21,11 +21,11 @@
 	// BatchWindow is the least time between two batches of changes. A change that
 	// follows none goes at the next Tick.
 	BatchWindow time.Duration
-	// ChunkBytes bounds the changes in one batch. Zero means 64 KiB.
-	ChunkBytes int
-	// WindowChunks bounds the batches sent and not yet acknowledged by a
+	// MaxBatchBytes bounds the changes in one batch. Zero means 64 KiB.
+	MaxBatchBytes int
+	// MaxInflightBatches bounds the batches sent and not yet acknowledged by a
 	// subscriber. Zero means 4.
-	WindowChunks int
+	MaxInflightBatches int
 	// MaxSubscribers bounds the fan-out; zero means 1,024.
 	MaxSubscribers int
 	// MaxCatchUps bounds the subscribers that are served more than one batch
@@ -34,11 +34,11 @@
 	// ResendAfter is when unacknowledged batches are sent again. Zero means
 	// 2 s.
 	ResendAfter time.Duration
-	// SilentAfter is when a silent subscriber is dropped; zero means 15 s.
-	SilentAfter time.Duration
-	// DepartedFor is how long a dropped subscriber is still reported as
+	// SubscriberTimeout is when a silent subscriber is dropped; zero means 15 s.
+	SubscriberTimeout time.Duration
+	// DisconnectedRetention is how long a dropped subscriber is still reported as
 	// lagging; zero means 1 minute.
-	DepartedFor time.Duration
+	DisconnectedRetention time.Duration
 	// RetryAfter is the mean delay asked of refused subscribers. Zero means
 	// 2 s.
 	RetryAfter time.Duration
@@ -47,13 +47,13 @@
 }
 
 func (o *SourceOptions) setDefaults() {
-	setDefault(&o.ChunkBytes, 64<<10)
-	setDefault(&o.WindowChunks, 4)
+	setDefault(&o.MaxBatchBytes, 64<<10)
+	setDefault(&o.MaxInflightBatches, 4)
 	setDefault(&o.MaxSubscribers, 1024)
 	setDefault(&o.MaxCatchUps, 32)
 	setDefault(&o.ResendAfter, 2*time.Second)
-	setDefault(&o.SilentAfter, 15*time.Second)
-	setDefault(&o.DepartedFor, time.Minute)
+	setDefault(&o.SubscriberTimeout, 15*time.Second)
+	setDefault(&o.DisconnectedRetention, time.Minute)
 	setDefault(&o.RetryAfter, 2*time.Second)
 }
 
@@ -104,11 +104,11 @@
 // Store returns the store that is served.
 func (s *Source) Store() *Store { return s.store }
 
-// Subscribers returns the number of open sessions.
-func (s *Source) Subscribers() int { return len(s.order) }
+// SubscriberCount returns the number of open sessions.
+func (s *Source) SubscriberCount() int { return len(s.order) }
 
 // Receive takes a message of a subscriber.
-func (s *Source) Receive(now time.Duration, peer PeerID, m Up) []Delivery {
+func (s *Source) Receive(now time.Duration, peer PeerID, m UpstreamMessage) []Delivery {
 	if m.Subscribe != nil {
 		return s.subscribe(now, peer, m.Session, m.Subscribe)
 	}
@@ -133,7 +133,7 @@
 func (s *Source) Tick(now time.Duration) []Delivery {
 	s.dropSilent(now)
 	var out []Delivery
-	if s.Due(now) {
+	if s.BatchDue(now) {
 		s.markChanged(now)
 	}
 	for _, sub := range s.order {
@@ -143,8 +143,8 @@
 	return out
 }
 
-// Due reports whether changes wait and the window after the last ones has passed.
-func (s *Source) Due(now time.Duration) bool {
+// BatchDue reports whether changes wait and the window after the last ones has passed.
+func (s *Source) BatchDue(now time.Duration) bool {
 	if s.flushed == s.store.position || !s.store.whole() {
 		return false
 	}
@@ -173,13 +173,13 @@
 
 // serve sends what is due to a subscriber, as far as its window allows.
 func (s *Source) serve(now time.Duration, sub *subscriber, out []Delivery) []Delivery {
-	for sub.due && len(sub.inflight) < s.opts.WindowChunks && s.store.whole() && s.resolve(sub) {
+	for sub.due && len(sub.inflight) < s.opts.MaxInflightBatches && s.store.whole() && s.resolve(sub) {
 		batch := s.next(sub)
 		if batch == nil {
 			return out
 		}
 		sub.sentAt = now
-		out = append(out, Delivery{Peer: sub.peer, Message: Down{Session: sub.session, Batch: batch}})
+		out = append(out, Delivery{Peer: sub.peer, Message: DownstreamMessage{Session: sub.session, Batch: batch}})
 	}
 	return out
 }
@@ -188,20 +188,20 @@
 // or if the subscriber must wait for its turn to catch up.
 func (s *Source) next(sub *subscriber) *Batch {
 	batch := s.cut(sub)
-	if batch.More && !s.beginCatchUp(sub) {
+	if batch.HasMore && !s.beginCatchUp(sub) {
 		return nil
 	}
 	sub.scanned = batch.To.Number
-	if !batch.More {
+	if !batch.HasMore {
 		s.endCatchUp(sub)
 		sub.due = false
 	}
 	if batch.idle(sub.keys != nil) {
 		return nil
 	}
-	sub.inflight = append(sub.inflight, sending{from: batch.From, to: batch.To, transfer: batch.Transfer, more: batch.More})
+	sub.inflight = append(sub.inflight, sending{from: batch.From, to: batch.To, transfer: batch.TransferID, more: batch.HasMore})
 	sub.sent = batch.To
-	if !batch.More {
+	if !batch.HasMore {
 		sub.transfer = 0
 	}
 	return batch
@@ -209,7 +209,7 @@
 
 // idle reports whether a subscriber learns nothing from b.
 func (b *Batch) idle(restricted bool) bool {
-	if len(b.Changes) > 0 || b.Transfer != 0 {
+	if len(b.Changes) > 0 || b.TransferID != 0 {
 		return false
 	}
 	return b.From == b.To || restricted && b.From.Epoch == b.To.Epoch
@@ -241,14 +241,14 @@
 	if b := s.shared; shareable && b != nil && b.From == sub.sent && b.To == s.store.position {
 		return b
 	}
-	b := &Batch{From: sub.sent, To: s.store.position, Transfer: sub.transfer}
+	b := &Batch{From: sub.sent, To: s.store.position, TransferID: sub.transfer}
 	size := 0
 	for e := s.store.after(sub.scanned); e != nil; e = e.next {
 		if !sub.wants(e) {
 			continue
 		}
-		if size += e.item.size(); size > s.opts.ChunkBytes && len(b.Changes) > 0 {
-			b.More = true
+		if size += e.item.size(); size > s.opts.MaxBatchBytes && len(b.Changes) > 0 {
+			b.HasMore = true
 			b.To.Number = b.Changes[len(b.Changes)-1].Number
 			break
 		}
@@ -257,7 +257,7 @@
 	if b.From.Epoch != b.To.Epoch {
 		b.Epochs = slices.Clone(s.store.epochs)
 	}
-	if shareable && !b.More {
+	if shareable && !b.HasMore {
 		s.shared = b
 	}
 	return b
--- a/core/spread/subscriber.go
+++ b/core/spread/subscriber.go
@@ -41,7 +41,7 @@
 
 	heardAt time.Duration
 	inForce Position
-	summary *Summary
+	summary *RelaySummary
 }
 
 func (sub *subscriber) wants(e *entry) bool {
@@ -68,7 +68,7 @@
 // take records that everything up to a batch has arrived.
 func (sub *subscriber) take(a *Ack) {
 	i := slices.IndexFunc(sub.inflight, func(s sending) bool {
-		return s.to == a.Received && s.transfer == a.Transfer
+		return s.to == a.Received && s.transfer == a.TransferID
 	})
 	for _, b := range sub.inflight[:i+1] {
 		if b.transfer == 0 || !b.more {
@@ -76,11 +76,11 @@
 		}
 	}
 	sub.inflight = slices.Delete(sub.inflight, 0, i+1)
-	if a.Transfer == 0 && !sub.rebuild && a.Received.Newer(sub.start) {
+	if a.TransferID == 0 && !sub.rebuild && a.Received.Newer(sub.start) {
 		sub.start = a.Received
 	}
-	if a.InForce.Newer(sub.inForce) {
-		sub.inForce = a.InForce
+	if a.Applied.Newer(sub.inForce) {
+		sub.inForce = a.Applied
 	}
 	if a.Summary != nil {
 		sub.summary = a.Summary
@@ -119,15 +119,15 @@
 		return nil
 	}
 	s.remove(peer)
-	if old, ok := s.byID[m.ID]; ok {
+	if old, ok := s.byID[m.DaemonID]; ok {
 		s.remove(old.peer)
 	}
 	if len(s.order) >= s.opts.MaxSubscribers {
-		return []Delivery{{Peer: peer, Message: Down{Session: session, Refusal: &Refusal{RetryAfter: s.retryAfter()}}}}
+		return []Delivery{{Peer: peer, Message: DownstreamMessage{Session: session, Refusal: &Refusal{RetryAfter: s.retryAfter()}}}}
 	}
 	sub := &subscriber{
-		peer: peer, id: m.ID, session: session, relay: m.Relay,
-		start: m.Position, rebuild: m.Rebuild, due: true, heardAt: now,
+		peer: peer, id: m.DaemonID, session: session, relay: m.IsRelay,
+		start: m.Position, rebuild: m.FullTransfer, due: true, heardAt: now,
 	}
 	if len(m.Keys) > 0 {
 		sub.keys = make(map[string]struct{}, len(m.Keys))
@@ -138,8 +138,8 @@
 			s.byKey[key] = append(s.byKey[key], sub)
 		}
 	}
-	s.departed = slices.DeleteFunc(s.departed, func(d departedDaemon) bool { return d.id == m.ID })
-	s.peers[peer], s.byID[m.ID] = sub, sub
+	s.departed = slices.DeleteFunc(s.departed, func(d departedDaemon) bool { return d.id == m.DaemonID })
+	s.peers[peer], s.byID[m.DaemonID] = sub, sub
 	s.order = append(s.order, sub)
 	return s.serve(now, sub, nil)
 }
@@ -149,8 +149,8 @@
 	return s.opts.RetryAfter/2 + time.Duration(s.opts.Rand.Int64N(int64(s.opts.RetryAfter)))
 }
 
-// Disconnected ends the session of a connection that was lost.
-func (s *Source) Disconnected(now time.Duration, peer PeerID) {
+// Disconnect ends the session of a connection that was lost.
+func (s *Source) Disconnect(now time.Duration, peer PeerID) {
 	if sub, ok := s.peers[peer]; ok {
 		s.remember(now, sub)
 		s.remove(peer)
@@ -177,37 +177,37 @@
 
 func (s *Source) dropSilent(now time.Duration) {
 	for _, sub := range slices.Clone(s.order) {
-		if now-sub.heardAt >= s.opts.SilentAfter {
-			s.Disconnected(now, sub.peer)
+		if now-sub.heardAt >= s.opts.SubscriberTimeout {
+			s.Disconnect(now, sub.peer)
 		}
 	}
 	s.departed = slices.DeleteFunc(s.departed, func(d departedDaemon) bool {
-		return now-d.at >= s.opts.DepartedFor
+		return now-d.at >= s.opts.DisconnectedRetention
 	})
 }
 
 func (s *Source) acknowledge(now time.Duration, sub *subscriber, a *Ack) []Delivery {
 	sub.heardAt = now
 	sub.take(a)
-	s.noteAhead(a.Ahead)
+	s.noteAhead(a.NewerVersions)
 	out := s.serve(now, sub, nil)
 	if a.Nonce == 0 {
 		return out
 	}
 	status := s.status(now, sub, a.Nonce)
-	return append(out, Delivery{Peer: sub.peer, Message: Down{Session: sub.session, Status: status}})
+	return append(out, Delivery{Peer: sub.peer, Message: DownstreamMessage{Session: sub.session, Status: status}})
 }
 
 func (s *Source) status(now time.Duration, sub *subscriber, nonce uint64) *Status {
 	st := &Status{Nonce: nonce, Head: s.store.complete}
 	if s.confirmed {
-		st.Confirmed, st.Age = true, widen(now-s.confirmedAt)
+		st.Confirmed, st.ConfirmationAge = true, widen(now-s.confirmedAt)
 	}
 	idle := !sub.due && sub.resolved && len(sub.inflight) == 0 && sub.rebuilds == s.store.rebuilds
 	if !idle || !s.store.whole() {
 		return st
 	}
-	st.From, st.Through = sub.sent, s.flushed
+	st.From, st.To = sub.sent, s.flushed
 	if s.flushed == s.store.position {
 		st.HasDigest, st.Digest = true, digest(s.bucketsFor(sub))
 	}
--- a/core/spread/traps_test.go
+++ b/core/spread/traps_test.go
@@ -25,13 +25,13 @@
 	t.Helper()
 	p := &pair{t: t, now: time.Second}
 	p.lead(NewStore(StoreOptions{MaxTombstones: 4}), 1)
-	opts.ID = "daemon"
+	opts.DaemonID = "daemon"
 	p.sink = NewSink(p.now, NewStore(StoreOptions{}), opts)
 	return p
 }
 
 func testSource() SourceOptions {
-	return SourceOptions{ChunkBytes: 200, Rand: rand.New(rand.NewPCG(1, 1))}
+	return SourceOptions{MaxBatchBytes: 200, Rand: rand.New(rand.NewPCG(1, 1))}
 }
 
 func (p *pair) lead(store *Store, epoch uint64) {
@@ -43,7 +43,7 @@
 
 func (p *pair) publish(key, body string) Item {
 	p.t.Helper()
-	it := Item{Key: key, Version: p.root.Next(), Body: []byte(body), Deleted: body == ""}
+	it := Item{Key: key, Version: p.root.NextVersion(), Body: []byte(body), Deleted: body == ""}
 	_, err := p.root.Publish(it)
 	is.New(p.t).NoErr(err)
 	return it
@@ -63,8 +63,8 @@
 	}
 }
 
-func (p *pair) take(out Output) []Up {
-	p.adopted = append(p.adopted, out.Adopted...)
+func (p *pair) take(out Output) []UpstreamMessage {
+	p.adopted = append(p.adopted, out.Applied...)
 	return out.Messages
 }
 
@@ -78,7 +78,7 @@
 func (p *pair) run() {
 	for range 30 {
 		p.now += 100 * time.Millisecond
-		p.root.Confirm(p.now)
+		p.root.RecordConfirmation(p.now)
 		p.receive(p.root.Tick(p.now))
 		p.send(p.sink.Tick(p.now))
 	}
@@ -102,24 +102,24 @@
 	}{
 		{"a cut-off root cannot bring a restarted daemon up", func(is *is.I, p *pair) {
 			p.publish("a", "1")
-			p.root.Confirm(0) // Before the daemon started.
+			p.root.RecordConfirmation(0) // Before the daemon started.
 			p.connect()
 			p.receive(p.root.Tick(p.now))
 			p.now += 5 * time.Second
 			p.send(p.sink.Tick(p.now))
 			is.Equal(p.sink.Store().Len(), 1)
 			is.Equal(len(p.adopted), 0)
-			is.True(!p.sink.Checked())
+			is.True(!p.sink.HasSynced())
 		}},
 		{"without control, what is in force stays", func(is *is.I, p *pair) {
 			p.publish("a", "1")
 			p.connect()
 			p.run()
-			at := p.sink.InForce()
-			p.sink.Disconnected()
+			at := p.sink.Applied()
+			p.sink.Disconnect()
 			p.sink.Tick(p.now + time.Hour)
-			is.Equal(p.sink.InForce(), at)
-			is.True(p.sink.Checked())
+			is.Equal(p.sink.Applied(), at)
+			is.True(p.sink.HasSynced())
 		}},
 		{"a lagging source takes nothing back", func(is *is.I, p *pair) {
 			p.publish("a", "1")
@@ -139,7 +139,7 @@
 			is.Equal(len(p.root.Tick(p.now)), 1) // Lost.
 			b := p.publish("b", "1")
 			next := p.root.Tick(p.now)
-			is.Equal(len(p.sink.Receive(p.now, next[0].Message).Adopted), 0) // A gap.
+			is.Equal(len(p.sink.Receive(p.now, next[0].Message).Applied), 0) // A gap.
 			p.run()
 			is.Equal(len(p.adopted), 2)
 			is.Equal(p.adopted[1], b)
@@ -149,9 +149,9 @@
 			p.run()
 			p.publish("a", "1")
 			d := p.root.Tick(p.now)
-			is.Equal(len(p.sink.Receive(p.now, d[0].Message).Adopted), 1)
+			is.Equal(len(p.sink.Receive(p.now, d[0].Message).Applied), 1)
 			again := p.sink.Receive(p.now, d[0].Message)
-			is.Equal(len(again.Adopted), 0)
+			is.Equal(len(again.Applied), 0)
 			is.Equal(again.Messages[0].Ack.Received, p.root.Store().Position())
 		}},
 		{"a message of an earlier session is ignored", func(is *is.I, p *pair) {
@@ -165,7 +165,7 @@
 		{"five hundred missed changes of one key travel as one", func(is *is.I, p *pair) {
 			p.connect()
 			p.run()
-			p.root.Disconnected(p.now, 1)
+			p.root.Disconnect(p.now, 1)
 			for i := range 500 {
 				p.publish("a", fmt.Sprint(i))
 			}
@@ -179,7 +179,7 @@
 			p.publish("old", "1")
 			p.connect()
 			p.run()
-			p.root.Disconnected(p.now, 1)
+			p.root.Disconnect(p.now, 1)
 			p.publish("old", "")
 			for i := range 20 {
 				p.publish(fmt.Sprint(i), "x")
@@ -210,7 +210,7 @@
 			p.connect()
 			p.run()
 			is.Equal(p.sink.Store().Digest(), p.root.Store().Digest())
-			is.Equal(p.sink.InForce(), p.root.Store().Position())
+			is.Equal(p.sink.Applied(), p.root.Store().Position())
 		}},
 		{"a change that the next root never saw is found and outbid", func(is *is.I, p *pair) {
 			p.publish("a", "1")
@@ -221,7 +221,7 @@
 			p.lead(follower, 2)
 			p.connect()
 			p.run()
-			is.Equal(p.root.TakeAhead(), []KeyVersion{{Key: "a", Version: unseen.Version}})
+			is.Equal(p.root.TakeNewerVersions(), []KeyVersion{{Key: "a", Version: unseen.Version}})
 			outbid := p.publish("a", "3")
 			p.run()
 			is.Equal(p.adopted[len(p.adopted)-1], outbid)
@@ -254,7 +254,7 @@
 			p.publish("b", "2")
 			p.run()
 			is.Equal(p.adopted, []Item{a})
-			is.Equal(p.sink.InForce(), p.root.Store().Position())
+			is.Equal(p.sink.Applied(), p.root.Store().Position())
 		}},
 		{"a full source refuses", func(is *is.I, p *pair) {
 			p.root.opts.MaxSubscribers = 0
@@ -267,17 +267,17 @@
 			at := p.publish("a", "1").Version
 			p.connect()
 			p.root.Tick(p.now + 20*time.Second)
-			is.Equal(p.root.Subscribers(), 0)
-			is.Equal(p.root.Progress(at).Laggards, []Laggard{{ID: "daemon", Departed: true}})
+			is.Equal(p.root.SubscriberCount(), 0)
+			is.Equal(p.root.Progress(at).Laggards, []Laggard{{ID: "daemon", Disconnected: true}})
 		}},
 		{"stale versions and epochs are refused", func(is *is.I, p *pair) {
 			it := p.publish("a", "1")
 			_, err := p.root.Publish(it)
-			is.True(errorx.IsOfType(err, ErrVersion))
+			is.True(errorx.IsOfType(err, ErrStaleVersion))
 			_, err = p.root.Publish(Item{Version: it.Version})
-			is.True(errorx.IsOfType(err, ErrItem))
+			is.True(errorx.IsOfType(err, ErrInvalidItem))
 			_, err = NewRoot(1, p.root.Store(), testSource())
-			is.True(errorx.IsOfType(err, ErrEpoch))
+			is.True(errorx.IsOfType(err, ErrStaleEpoch))
 		}},
 	}
 	for _, trap := range traps {
@@ -287,36 +287,36 @@
 
 func TestCatchUpsWaitForTheirTurn(t *testing.T) {
 	is := is.New(t)
-	root, err := NewRoot(1, NewStore(StoreOptions{}), SourceOptions{ChunkBytes: 1, MaxCatchUps: 2, WindowChunks: 1, Rand: rand.New(rand.NewPCG(1, 1))})
+	root, err := NewRoot(1, NewStore(StoreOptions{}), SourceOptions{MaxBatchBytes: 1, MaxCatchUps: 2, MaxInflightBatches: 1, Rand: rand.New(rand.NewPCG(1, 1))})
 	is.NoErr(err)
 	for i := range 3 {
-		_, err = root.Publish(Item{Key: fmt.Sprint(i), Version: root.Next()})
+		_, err = root.Publish(Item{Key: fmt.Sprint(i), Version: root.NextVersion()})
 		is.NoErr(err)
 	}
 	served := 0
 	for peer := range PeerID(5) {
-		served += len(root.Receive(0, peer, Up{Session: 1, Subscribe: &Subscribe{ID: fmt.Sprint(peer)}}))
+		served += len(root.Receive(0, peer, UpstreamMessage{Session: 1, Subscribe: &Subscribe{DaemonID: fmt.Sprint(peer)}}))
 	}
 	is.Equal(served, 2)
-	root.Disconnected(0, 0)
+	root.Disconnect(0, 0)
 	is.Equal(len(root.Tick(0)), 1)
 }
 
 func TestSummaryBehind(t *testing.T) {
 	at := func(n uint64) Position { return Position{Epoch: 1, Number: n} }
-	named := []Laggard{{ID: "a", InForce: at(3)}, {ID: "b", InForce: at(7)}}
+	named := []Laggard{{ID: "a", Applied: at(3)}, {ID: "b", Applied: at(7)}}
 	tests := []struct {
 		name           string
-		summary        *Summary
+		summary        *RelaySummary
 		at             Position
 		total, lagging int
 	}{
 		{"no summary yet", nil, at(5), 0, 0},
-		{"all at the mark", &Summary{Mark: at(9), Total: 4}, at(5), 4, 0},
-		{"mark is older", &Summary{Mark: at(4), Total: 4}, at(5), 4, 4},
-		{"every laggard named", &Summary{Mark: at(9), Total: 4, Lagging: 2, Laggards: named}, at(5), 4, 1},
-		{"names cut, one is past", &Summary{Mark: at(9), Total: 90, Lagging: 50, Laggards: named}, at(5), 90, 1},
-		{"names cut, all behind", &Summary{Mark: at(9), Total: 90, Lagging: 50, Laggards: named}, at(8), 90, 50},
+		{"all at the mark", &RelaySummary{Position: at(9), Total: 4}, at(5), 4, 0},
+		{"mark is older", &RelaySummary{Position: at(4), Total: 4}, at(5), 4, 4},
+		{"every laggard named", &RelaySummary{Position: at(9), Total: 4, LaggardCount: 2, Laggards: named}, at(5), 4, 1},
+		{"names cut, one is past", &RelaySummary{Position: at(9), Total: 90, LaggardCount: 50, Laggards: named}, at(5), 90, 1},
+		{"names cut, all behind", &RelaySummary{Position: at(9), Total: 90, LaggardCount: 50, Laggards: named}, at(8), 90, 50},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -350,11 +350,11 @@
 
 func TestBackoffGrowsToItsBound(t *testing.T) {
 	is := is.New(t)
-	b := NewBackoff(BackoffOptions{Spread: time.Second, Max: 8 * time.Second, Rand: rand.New(rand.NewPCG(1, 1))})
+	b := NewBackoff(BackoffOptions{InitialRange: time.Second, MaxRange: 8 * time.Second, Rand: rand.New(rand.NewPCG(1, 1))})
 	for i := range 100 {
 		d := b.Next(time.Second)
 		is.True(d >= time.Second && d <= time.Second+min(time.Second<<min(i, 10), 8*time.Second))
 	}
-	b.Succeeded()
+	b.Reset()
 	is.True(b.Next(0) <= time.Second)
 }
--- a/core/spread/window_test.go
+++ b/core/spread/window_test.go
@@ -13,7 +13,7 @@
 func TestSinkAsksSoonAfterItsStart(t *testing.T) {
 	const tick = 50 * time.Millisecond
 	is := is.New(t)
-	sink := NewSink(0, NewStore(StoreOptions{}), SinkOptions{ID: "balancer-1", CheckEvery: 250 * time.Millisecond})
+	sink := NewSink(0, NewStore(StoreOptions{}), SinkOptions{DaemonID: "balancer-1", SyncProbeInterval: 250 * time.Millisecond})
 	sink.Connect(0, 1)
 	var asked []time.Duration
 	for now := tick; now <= time.Second; now += tick {
@@ -32,12 +32,12 @@
 	root, err := NewRoot(1, NewStore(StoreOptions{}), SourceOptions{BatchWindow: window, Rand: rand.New(rand.NewPCG(1, 1))})
 	is.NoErr(err)
 	now := time.Second
-	root.Confirm(now)
-	sink := NewSink(now, NewStore(StoreOptions{}), SinkOptions{ID: "balancer-1"})
+	root.RecordConfirmation(now)
+	sink := NewSink(now, NewStore(StoreOptions{}), SinkOptions{DaemonID: "balancer-1"})
 	pass := func(down []Delivery) (adopted int) {
 		for len(down) > 0 {
 			out := sink.Receive(now, down[0].Message)
-			adopted += len(out.Adopted)
+			adopted += len(out.Applied)
 			down = down[1:]
 			for _, m := range out.Messages {
 				down = append(down, root.Receive(now, 1, m)...)
@@ -46,22 +46,22 @@
 		return adopted
 	}
 	publish := func(key string) {
-		_, err := root.Publish(Item{Key: key, Version: root.Next(), Body: []byte("x")})
+		_, err := root.Publish(Item{Key: key, Version: root.NextVersion(), Body: []byte("x")})
 		is.NoErr(err)
 	}
 	for _, m := range sink.Connect(now, 1).Messages {
 		pass(root.Receive(now, 1, m))
 	}
 	publish("service/1")
-	is.True(root.Due(now))
+	is.True(root.BatchDue(now))
 	is.Equal(pass(root.Tick(now)), 1)
 
 	now += time.Millisecond
 	publish("service/2")
-	is.True(!root.Due(now))
+	is.True(!root.BatchDue(now))
 	is.Equal(pass(root.Tick(now)), 0)
 	publish("service/3")
 	now += window
 	is.Equal(pass(root.Tick(now)), 2)
-	is.True(!root.Due(now)) // nothing waits
+	is.True(!root.BatchDue(now)) // nothing waits
 }
--- a/internal/role/control/daemons.go
+++ b/internal/role/control/daemons.go
@@ -92,9 +92,9 @@
 	if !published {
 		return progress
 	}
-	progress.InForce = spread.InForce
+	progress.InForce = spread.Applied
 	for _, l := range spread.Laggards[:min(len(spread.Laggards), limit)] {
-		progress.Missing = append(progress.Missing, admin.Daemon{Name: l.ID, InForce: l.InForce.String(), Departed: l.Departed})
+		progress.Missing = append(progress.Missing, admin.Daemon{Name: l.ID, InForce: l.Applied.String(), Departed: l.Disconnected})
 	}
 	return progress
 }
--- a/internal/subscribe/publisher.go
+++ b/internal/subscribe/publisher.go
@@ -58,7 +58,7 @@
 
 	mu     sync.Mutex
 	root   *spread.Root
-	queues map[spread.PeerID]chan spread.Down
+	queues map[spread.PeerID]chan spread.DownstreamMessage
 	peers  spread.PeerID
 	// changed asks for a batch before the next tick.
 	changed chan struct{}
@@ -78,7 +78,7 @@
 		options: o,
 		started: o.Now(),
 		root:    root,
-		queues:  make(map[spread.PeerID]chan spread.Down),
+		queues:  make(map[spread.PeerID]chan spread.DownstreamMessage),
 		changed: make(chan struct{}, 1),
 	}, nil
 }
@@ -90,7 +90,7 @@
 func (p *Publisher) Publish(item func(view.Version) (spread.Item, error)) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	it, err := item(p.root.Next())
+	it, err := item(p.root.NextVersion())
 	if err != nil {
 		return err
 	}
@@ -117,7 +117,7 @@
 	if _, ok := p.root.Store().Get(key); !ok {
 		return nil
 	}
-	return p.publish(spread.Item{Key: key, Version: p.root.Next(), Deleted: true})
+	return p.publish(spread.Item{Key: key, Version: p.root.NextVersion(), Deleted: true})
 }
 
 // Position returns the position of the newest change.
@@ -169,7 +169,7 @@
 func (p *Publisher) tickIfDue() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if now := p.now(); p.root.Due(now) {
+	if now := p.now(); p.root.BatchDue(now) {
 		p.deliver(p.root.Tick(now))
 	}
 }
@@ -180,7 +180,7 @@
 		began := p.now()
 		if p.options.Confirm(ctx) == nil {
 			p.mu.Lock()
-			p.root.Confirm(began)
+			p.root.RecordConfirmation(began)
 			p.mu.Unlock()
 		}
 		if !pace.Sleep(ctx, confirmInterval) {
@@ -200,7 +200,7 @@
 		send(ctx, stream, queue)
 	}()
 	for {
-		var m spread.Up
+		var m spread.UpstreamMessage
 		if err := stream.Recv(&m); err != nil {
 			return
 		}
@@ -208,11 +208,11 @@
 	}
 }
 
-func (p *Publisher) connect() (spread.PeerID, <-chan spread.Down) {
+func (p *Publisher) connect() (spread.PeerID, <-chan spread.DownstreamMessage) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.peers++
-	queue := make(chan spread.Down, queueLength)
+	queue := make(chan spread.DownstreamMessage, queueLength)
 	p.queues[p.peers] = queue
 	return p.peers, queue
 }
@@ -221,15 +221,15 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.queues, id)
-	p.root.Disconnected(p.now(), id)
+	p.root.Disconnect(p.now(), id)
 }
 
-func (p *Publisher) receive(id spread.PeerID, m spread.Up) {
+func (p *Publisher) receive(id spread.PeerID, m spread.UpstreamMessage) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
 	if p.options.Confirm == nil {
-		p.root.Confirm(now)
+		p.root.RecordConfirmation(now)
 	}
 	p.deliver(p.root.Receive(now, id, m))
 }
@@ -245,7 +245,7 @@
 }
 
 // send writes queued messages until the stream fails or ctx ends.
-func send(ctx context.Context, stream *peer.Stream, queue <-chan spread.Down) {
+func send(ctx context.Context, stream *peer.Stream, queue <-chan spread.DownstreamMessage) {
 	for {
 		select {
 		case <-ctx.Done():
--- a/internal/subscribe/subscribe.go
+++ b/internal/subscribe/subscribe.go
@@ -85,11 +85,11 @@
 	o.Retry = o.Retry.WithDefaults()
 	s := &subscription{options: o, started: o.Now()}
 	store := spread.NewStore(spread.StoreOptions{DropBodies: true})
-	s.sink = spread.NewSink(0, store, spread.SinkOptions{ID: o.Name, Keys: o.Keys})
+	s.sink = spread.NewSink(0, store, spread.SinkOptions{DaemonID: o.Name, Keys: o.Keys})
 	backoff := spread.NewBackoff(spread.BackoffOptions{
-		Spread: o.Retry.First,
-		Max:    o.Retry.Max,
-		Rand:   rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		InitialRange: o.Retry.First,
+		MaxRange:     o.Retry.Max,
+		Rand:         rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	})
 	for i := 0; ctx.Err() == nil; i++ {
 		order := Order(o.Name, o.Control(), i)
@@ -99,7 +99,7 @@
 		}
 		o.Log.Warn("Lost control. What is in force stays.", zap.Stringer("control", addr), zap.Error(err))
 		if heard {
-			backoff.Succeeded()
+			backoff.Reset()
 		}
 		if !pace.Sleep(ctx, backoff.Next(retryAfter)) {
 			return
@@ -133,12 +133,12 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	dial, stopDial := context.WithTimeout(ctx, s.options.Retry.Dial)
-	stream, addr, err := s.options.Pool.OpenAny(dial, order, proto.Subscribe, s.sink.Silent(s.now()))
+	stream, addr, err := s.options.Pool.OpenAny(dial, order, proto.Subscribe, s.sink.SourceTimedOut(s.now()))
 	stopDial()
 	if err != nil {
 		return addr, 0, false, err
 	}
-	defer s.sink.Disconnected()
+	defer s.sink.Disconnect()
 	defer stream.Abort()
 	stop := context.AfterFunc(ctx, stream.Abort)
 	defer stop()
@@ -167,18 +167,18 @@
 		switch {
 		case out.RetryAfter > 0:
 			return addr, out.RetryAfter, false, Refused.New("%v serves enough others", addr)
-		case s.sink.Silent(s.now()):
+		case s.sink.SourceTimedOut(s.now()):
 			return addr, 0, heard, Silent.New("nothing was heard from %v", addr)
 		}
 	}
 }
 
 // receive reads messages until the stream fails.
-func receive(ctx context.Context, stream *peer.Stream) (<-chan spread.Down, <-chan error) {
-	received, failed := make(chan spread.Down), make(chan error, 1)
+func receive(ctx context.Context, stream *peer.Stream) (<-chan spread.DownstreamMessage, <-chan error) {
+	received, failed := make(chan spread.DownstreamMessage), make(chan error, 1)
 	go func() {
 		for {
-			var m spread.Down
+			var m spread.DownstreamMessage
 			if err := stream.Recv(&m); err != nil {
 				failed <- err
 				return
@@ -197,12 +197,12 @@
 // take puts in force what was adopted and sends what is to be sent.
 func (s *subscription) take(stream *peer.Stream, out spread.Output) error {
 	var update proto.Update
-	for _, it := range out.Adopted {
+	for _, it := range out.Applied {
 		if err := update.Add(it); err != nil {
 			s.options.Log.Error("Cannot adopt an item.", zap.String("key", it.Key), zap.Error(err))
 		}
 	}
-	if len(out.Adopted) > 0 {
+	if len(out.Applied) > 0 {
 		s.options.Adopt(update)
 	}
 	s.confirm()
--- a/internal/subscribe/subscribe_test.go
+++ b/internal/subscribe/subscribe_test.go
@@ -130,7 +130,7 @@
 	u := f.next()
 	is.Equal(u.Services, []proto.Service{{ID: 3, Name: "c", Version: view.Version{Epoch: 2, Number: 1}}})
 	is.Equal(u.Removed, []string{"b"})
-	for at, tries := second.publisher.Position(), 0; second.publisher.Progress(at).InForce != 1; tries++ {
+	for at, tries := second.publisher.Position(), 0; second.publisher.Progress(at).Applied != 1; tries++ {
 		is.True(tries < 1000) // The acknowledgement arrives.
 		time.Sleep(10 * time.Millisecond)
 	}
--- a/tools/capacity/measure_spread.go
+++ b/tools/capacity/measure_spread.go
@@ -61,8 +61,8 @@
 	})
 	must(err)
 	for i := range services {
-		publish(root, serviceItem(i, root.Next()))
-		publish(root, viewItem(i, root.Next()))
+		publish(root, serviceItem(i, root.NextVersion()))
+		publish(root, viewItem(i, root.NextVersion()))
 	}
 	return root
 }
@@ -73,30 +73,30 @@
 }
 
 func newLink(root *spread.Root, adopt func(spread.Item)) *link {
-	sink := spread.NewSink(0, spread.NewStore(spread.StoreOptions{DropBodies: true}), spread.SinkOptions{ID: "balancer"})
+	sink := spread.NewSink(0, spread.NewStore(spread.StoreOptions{DropBodies: true}), spread.SinkOptions{DaemonID: "balancer"})
 	return &link{root: root, sink: sink, adopt: adopt}
 }
 
 func (l *link) connect() {
 	l.session++
-	l.root.Confirm(0)
+	l.root.RecordConfirmation(0)
 	l.pass(l.take(l.sink.Connect(0, l.session)))
 }
 
 // tick sends what is due and delivers everything that follows from it.
 func (l *link) tick() { l.pass(l.down(l.root.Tick(0))) }
 
-func (l *link) pass(queue []spread.Up) {
+func (l *link) pass(queue []spread.UpstreamMessage) {
 	for ; len(queue) > 0; queue = queue[1:] {
 		l.count(queue[0])
 		queue = append(queue, l.down(l.root.Receive(0, 1, queue[0]))...)
 	}
 }
 
-func (l *link) down(all []spread.Delivery) (answers []spread.Up) {
+func (l *link) down(all []spread.Delivery) (answers []spread.UpstreamMessage) {
 	for _, d := range all {
 		b := l.count(d.Message)
-		var m spread.Down
+		var m spread.DownstreamMessage
 		must(cbor.Unmarshal(b, &m))
 		answers = append(answers, l.take(l.sink.Receive(0, m))...)
 	}
@@ -110,8 +110,8 @@
 	return b
 }
 
-func (l *link) take(out spread.Output) []spread.Up {
-	for _, it := range out.Adopted {
+func (l *link) take(out spread.Output) []spread.UpstreamMessage {
+	for _, it := range out.Applied {
 		l.adopt(it)
 	}
 	return out.Messages
@@ -127,7 +127,7 @@
 		leaf.Points = append(leaf.Points, Point{float64(hosts), heapOf(func() any {
 			l := newLink(root, func(spread.Item) {})
 			l.connect()
-			root.Disconnected(0, 1)
+			root.Disconnect(0, 1)
 			return l.sink
 		})})
 		runtime.KeepAlive(root)
@@ -146,7 +146,7 @@
 		l := newLink(root, adoptInto(b))
 		l.connect()
 		s.Points = append(s.Points, Point{float64(hosts), nsPerOp(func(i int) {
-			publish(root, viewItem(i%services, root.Next()))
+			publish(root, viewItem(i%services, root.NextVersion()))
 			l.tick()
 		})})
 	}
@@ -169,18 +169,18 @@
 	for _, subscribers := range []int{10, 30, 100, 310, 1_000} {
 		root := newRoot(1_900)
 		for peer := range spread.PeerID(subscribers) {
-			root.Receive(0, peer, spread.Up{Session: 1, Subscribe: &spread.Subscribe{
-				ID: fmt.Sprint(peer), Position: root.Store().Position(),
+			root.Receive(0, peer, spread.UpstreamMessage{Session: 1, Subscribe: &spread.Subscribe{
+				DaemonID: fmt.Sprint(peer), Position: root.Store().Position(),
 			}})
 		}
 		root.Tick(0)
 		s.Points = append(s.Points, Point{float64(subscribers), nsPerOp(func(i int) {
-			publish(root, viewItem(i%1_900, root.Next()))
+			publish(root, viewItem(i%1_900, root.NextVersion()))
 			for _, d := range root.Tick(0) {
 				_, err := cbor.Marshal(d.Message)
 				must(err)
-				ack := &spread.Ack{Received: d.Message.Batch.To, InForce: d.Message.Batch.To}
-				root.Receive(0, d.Peer, spread.Up{Session: 1, Ack: ack})
+				ack := &spread.Ack{Received: d.Message.Batch.To, Applied: d.Message.Batch.To}
+				root.Receive(0, d.Peer, spread.UpstreamMessage{Session: 1, Ack: ack})
 			}
 		})})
 	}
@@ -197,9 +197,9 @@
 	l := newLink(root, adoptInto(b))
 	l.connect()
 	for _, missed := range []int{19, 190, 500, 1_900, 19_000} {
-		root.Disconnected(0, 1)
+		root.Disconnect(0, 1)
 		for i := range missed {
-			publish(root, viewItem(i, root.Next()))
+			publish(root, viewItem(i, root.NextVersion()))
 		}
 		root.Tick(0)
 		l.bytes = 0
