--- a/internal/role/control/daemons.go
+++ b/internal/role/control/daemons.go
@@ -92,9 +92,9 @@
 	if !published {
 		return progress
 	}
-	progress.InForce = spread.InForce
+	progress.InForce = spread.Applied
 	for _, l := range spread.Laggards[:min(len(spread.Laggards), limit)] {
-		progress.Missing = append(progress.Missing, admin.Daemon{Name: l.ID, InForce: l.InForce.String(), Departed: l.Departed})
+		progress.Missing = append(progress.Missing, admin.Daemon{Name: l.ID, InForce: l.Applied.String(), Departed: l.Disconnected})
 	}
 	return progress
 }
@@ -104,7 +104,7 @@
 	defer c.mu.Unlock()
 	var members []admin.Member
 	for _, name := range slices.Sorted(maps.Keys(c.services)) {
-		for _, b := range c.registry.Status(c.elapsed(), c.services[name].ID) {
+		for _, b := range c.registry.MemberStatuses(c.elapsed(), c.services[name].ID) {
 			members = append(members, admin.Member{
 				Service: name, ID: b.ID, Zone: b.Zone, State: b.State, Weight: b.Weight,
 				Flows: b.Flows, Load: b.Load, Reasons: b.Reasons,
