--- a/core/flow/agent.go
+++ b/core/flow/agent.go
@@ -28,10 +28,10 @@
 	// HistoryWindow is how long after a view's adoption the agents that earlier
 	// versions placed a flow on are asked about it.
 	HistoryWindow time.Duration
-	// SilentAfter is how long an agent may leave SilentAsks questions
+	// UnresponsiveAfter is how long an agent may leave SilentAsks questions
 	// unanswered before it is passed over.
-	SilentAfter time.Duration
-	SilentAsks  int
+	UnresponsiveAfter   time.Duration
+	UnresponsiveQueries int
 	// MaxHops bounds the relaying of one packet.
 	MaxHops uint8
 }
@@ -40,8 +40,8 @@
 	setDefault(&o.IdleTimeout, 5*time.Minute)
 	setDefault(&o.PointerTTL, 10*time.Minute)
 	setDefault(&o.HistoryWindow, 30*time.Second)
-	setDefault(&o.SilentAfter, time.Second)
-	setDefault(&o.SilentAsks, 4)
+	setDefault(&o.UnresponsiveAfter, time.Second)
+	setDefault(&o.UnresponsiveQueries, 4)
 	setDefault(&o.MaxHops, 24)
 }
 
@@ -94,7 +94,7 @@
 	a := &Agent{options: o}
 	a.peers.bySeed = make(map[uint64]uint32)
 	a.ballots.numbers = make(map[Ballot]uint32)
-	a.peers.silence = silenceRule{asks: o.SilentAsks, after: o.SilentAfter}
+	a.peers.silence = silenceRule{asks: o.UnresponsiveQueries, after: o.UnresponsiveAfter}
 	return a
 }
 
@@ -150,11 +150,11 @@
 	r.shard = a.shard(r.id)
 	r.shard.mu.Lock()
 	defer r.shard.mu.Unlock()
-	for _, d := range p.Denied[:p.Denials] {
+	for _, d := range p.NonOwners[:p.NonOwnerCount] {
 		a.peers.heard(d)
 	}
 	switch p.Kind {
-	case Ask:
+	case Query:
 		return r.answer()
 	case Assign:
 		return r.assigned()
@@ -164,14 +164,14 @@
 }
 
 // check finds what forbids p from being taken in at all.
-func (a *Agent) check(p *Packet) Reason {
+func (a *Agent) check(p *Packet) DropReason {
 	addresses := a.addresses.Load()
 	switch {
-	case p.Kind >= kinds || p.Denials > MaxDenied:
+	case p.Kind >= kinds || p.NonOwnerCount > MaxNonOwners:
 		return Malformed
 	case addresses == nil || p.Service != view.ServiceID(a.service.Load()):
 		return WrongService
-	case p.Target != a.options.Self.Incarnation:
+	case p.TargetIncarnation != a.options.Self.Incarnation:
 		return WrongIncarnation
 	case p.Hops > a.options.MaxHops:
 		return HopLimit
@@ -182,9 +182,9 @@
 	return NoReason
 }
 
-func (a *Agent) refuse(r Reason) Action {
+func (a *Agent) refuse(r DropReason) Action {
 	a.stats.refused[r].Add(1)
-	return Action{Verdict: Refuse, Reason: r}
+	return Action{Verdict: Drop, Reason: r}
 }
 
 func (a *Agent) shard(id ID) *shard { return &a.shards[id.Key%shardCount] }
@@ -199,8 +199,8 @@
 	}
 }
 
-// End forgets an owned flow.
-func (a *Agent) End(id ID) {
+// RemoveFlow forgets an owned flow.
+func (a *Agent) RemoveFlow(id ID) {
 	s := a.shard(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -219,10 +219,10 @@
 	return e != nil && e.owned()
 }
 
-// Learn stores pointers to owner that from, which is the owner or an agent that
+// StorePointers stores pointers to owner that from, which is the owner or an agent that
 // points to it, has sent. Flows that this agent owns are left alone, and a
 // second-hand pointer does not replace another.
-func (a *Agent) Learn(now time.Duration, from, owner Peer, ids []ID) {
+func (a *Agent) StorePointers(now time.Duration, from, owner Peer, ids []ID) {
 	a.peers.heard(from.Seed)
 	if owner.Seed == a.options.Self.Seed {
 		return
@@ -246,8 +246,8 @@
 	}
 }
 
-// Heard notes a sign of life of an agent, such as an acknowledgement.
-func (a *Agent) Heard(p Peer) { a.peers.heard(p.Seed) }
+// MarkResponsive notes a sign of life of an agent, such as an acknowledgement.
+func (a *Agent) MarkResponsive(p Peer) { a.peers.heard(p.Seed) }
 
 // Owned calls f with every owned flow until f returns false.
 func (a *Agent) Owned(f func(ID) bool) {
--- a/core/flow/balancer.go
+++ b/core/flow/balancer.go
@@ -35,17 +35,17 @@
 	Version view.Version
 	// Target is the agent beside the pick.
 	Target Peer
-	// Priors are the agents that earlier views placed the flow on, if others.
-	Priors Priors
-	// Informed tells that Priors is complete.
-	Informed bool
+	// EarlierPicks are the agents that earlier views placed the flow on, if others.
+	EarlierPicks EarlierPicks
+	// EarlierPicksComplete tells that Priors is complete.
+	EarlierPicksComplete bool
 }
 
 // Packet returns the envelope of a datagram of t.
 func (d *Decision) Packet(t Tuple) Packet {
 	return Packet{
 		Kind: Search, Service: d.Service, Ballot: Ballot{Version: d.Version}, Tuple: t,
-		Target: d.Target.Incarnation, Priors: d.Priors, Informed: d.Informed,
+		TargetIncarnation: d.Target.Incarnation, EarlierPicks: d.EarlierPicks, EarlierPicksComplete: d.EarlierPicksComplete,
 	}
 }
 
@@ -123,8 +123,8 @@
 	return s
 }
 
-// Forget drops the views of services that keep does not hold.
-func (b *Balancer) Forget(keep func(view.ServiceID) bool) {
+// RetainServices drops the views of services that keep does not hold.
+func (b *Balancer) RetainServices(keep func(view.ServiceID) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for id := range b.services {
@@ -161,8 +161,8 @@
 	return n
 }
 
-// Tick drops earlier views that have been superseded for long enough.
-func (b *Balancer) Tick(now time.Duration) {
+// ExpireEarlierViews drops earlier views that have been superseded for long enough.
+func (b *Balancer) ExpireEarlierViews(now time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, s := range b.services {
@@ -206,16 +206,16 @@
 		return Decision{}, ErrNoTarget
 	}
 	v := views.current.view
-	d := Decision{Service: s.id, Version: v.Version, Target: PeerOf(v, current), Informed: true}
+	d := Decision{Service: s.id, Version: v.Version, Target: PeerOf(v, current), EarlierPicksComplete: true}
 	if views.earlier != nil {
-		d.Priors, d.Informed = views.priors(key, d.Target.Seed)
+		d.EarlierPicks, d.EarlierPicksComplete = views.priors(key, d.Target.Seed)
 	}
 	return d, nil
 }
 
 // priors returns the agents other than pick that earlier views placed key on, in
 // their latest runs, and whether that is all of them.
-func (v *views) priors(key, pick uint64) (p Priors, all bool) {
+func (v *views) priors(key, pick uint64) (p EarlierPicks, all bool) {
 	for _, e := range v.earlier {
 		i := e.pick(key)
 		if i == placement.None {
@@ -254,8 +254,8 @@
 }
 
 // Drops returns the number of packets not forwarded, by reason.
-func (b *Balancer) Drops() Refusals {
-	var r Refusals
+func (b *Balancer) Drops() DropCounts {
+	var r DropCounts
 	for i := range r {
 		r[i] = b.drops[i].Load()
 	}
--- a/core/flow/bench_test.go
+++ b/core/flow/bench_test.go
@@ -44,7 +44,7 @@
 	v := hosts(1, 1)
 	a := agentOn(v, 0)
 	packet := func(i int) Packet {
-		return Packet{Service: 1, Target: 1, Ballot: Ballot{Version: view.Version{Epoch: 1, Number: 1}}, Informed: true, Tuple: tupleOf(i)}
+		return Packet{Service: 1, TargetIncarnation: 1, Ballot: Ballot{Version: view.Version{Epoch: 1, Number: 1}}, EarlierPicksComplete: true, Tuple: tupleOf(i)}
 	}
 	for i := range flows {
 		p := packet(i)
--- a/core/flow/example_test.go
+++ b/core/flow/example_test.go
@@ -29,6 +29,6 @@
 	}
 	packet := decision.Packet(tuple)
 	action := agent.Receive(time.Second, &packet)
-	fmt.Println(action.Verdict == flow.Deliver, action.Opened, agent.Flows())
+	fmt.Println(action.Verdict == flow.Deliver, action.BecameOwner, agent.OwnedCount())
 	// Output: true true 1
 }
--- a/core/flow/export_test.go
+++ b/core/flow/export_test.go
@@ -15,10 +15,10 @@
 	self, other := Peer{Seed: 1, Incarnation: 1}, Peer{Seed: 2, Incarnation: 7}
 	before := NewAgent(AgentOptions{Self: self})
 	ballot := Ballot{Version: view.Version{Epoch: 3, Number: 4}, Retake: true}
-	before.Import(now, []Saved{
+	before.Import(now, []Record{
 		{ID: ID{Key: 1, Check: 1}, Owned: true, Idle: time.Second},
-		{ID: ID{Key: 2, Check: 2}, Owner: other, Bound: ballot, Home: other},
-		{ID: ID{Key: 3, Check: 3}, Bound: ballot},
+		{ID: ID{Key: 2, Check: 2}, Owner: other, PromisedBallot: ballot, Home: other},
+		{ID: ID{Key: 3, Check: 3}, PromisedBallot: ballot},
 	})
 	first := before.Export(now)
 	is.Equal(len(first), 3)
@@ -33,9 +33,9 @@
 		case 2:
 			is.Equal(s.Owner, other)
 			is.Equal(s.Home, other)
-			is.Equal(s.Bound, ballot)
+			is.Equal(s.PromisedBallot, ballot)
 		case 3:
-			is.Equal(s.Bound, ballot)
+			is.Equal(s.PromisedBallot, ballot)
 			is.True(!s.Owned && s.Owner.IsZero())
 		}
 	}
--- a/core/flow/flow_test.go
+++ b/core/flow/flow_test.go
@@ -50,16 +50,16 @@
 		f, err := fresh.Forward(tupleOf(i))
 		is.NoErr(err)
 		is.Equal(d.Target, f.Target) // the pick depends on the view alone
-		if !d.Priors[0].IsZero() {
+		if !d.EarlierPicks[0].IsZero() {
 			moved++
 			is.Equal(d.Target.Seed, after.Seed(7)) // only to the host that joined
 		}
 	}
 	is.True(moved > 75 && moved < 175) // an eighth, within five standard deviations
-	b.Tick(2 * time.Second)
+	b.ExpireEarlierViews(2 * time.Second)
 	d, err := b.Forward(tupleOf(1))
 	is.NoErr(err)
-	is.Equal(d.Priors, Priors{})
+	is.Equal(d.EarlierPicks, EarlierPicks{})
 }
 
 func TestForwardDrops(t *testing.T) {
@@ -70,7 +70,7 @@
 		b      *Balancer
 		tuple  Tuple
 		err    error
-		reason Reason
+		reason DropReason
 	}{
 		{balancerOn(), tupleOf(1), ErrNoView, NoView},
 		{balancerOn(empty), tupleOf(1), ErrNoTarget, NoTarget},
@@ -110,15 +110,15 @@
 	cases := []struct {
 		name   string
 		change func(*Packet)
-		want   Reason
+		want   DropReason
 	}{
 		{"another service", func(p *Packet) { p.Service = 2 }, WrongService},
-		{"an earlier run", func(p *Packet) { p.Target-- }, WrongIncarnation},
-		{"a later run", func(p *Packet) { p.Target++ }, WrongIncarnation},
+		{"an earlier run", func(p *Packet) { p.TargetIncarnation-- }, WrongIncarnation},
+		{"a later run", func(p *Packet) { p.TargetIncarnation++ }, WrongIncarnation},
 		{"another address", func(p *Packet) { p.Tuple.Service = netip.MustParseAddrPort("127.1.0.2:443") }, WrongAddress},
 		{"too many hops", func(p *Packet) { p.Hops = 25 }, HopLimit},
 		{"kind out of range", func(p *Packet) { p.Kind = kinds }, Malformed},
-		{"too many denials", func(p *Packet) { p.Denials = MaxDenied + 1 }, Malformed},
+		{"too many denials", func(p *Packet) { p.NonOwnerCount = MaxNonOwners + 1 }, Malformed},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -126,9 +126,9 @@
 			a := agentOn(v, 0)
 			p := d.Packet(tupleOf(1))
 			c.change(&p)
-			is.Equal(a.Receive(0, &p), Action{Verdict: Refuse, Reason: c.want})
-			is.Equal(a.Stats().Refused[c.want], uint64(1))
-			is.Equal(a.Flows(), 0)
+			is.Equal(a.Receive(0, &p), Action{Verdict: Drop, Reason: c.want})
+			is.Equal(a.Stats().Dropped[c.want], uint64(1))
+			is.Equal(a.OwnedCount(), 0)
 		})
 	}
 	is.New(t).Equal(NewAgent(AgentOptions{}).Receive(0, &Packet{}).Reason, WrongService) // no service known yet
@@ -140,12 +140,12 @@
 	after.Members[0].State, after.Members[0].Weight = view.Draining, 0
 	after.Prepare()
 	a := agentOn(before, 0)
-	known := Packet{Service: 1, Target: 1, Ballot: Ballot{Version: before.Version}, Informed: true, Tuple: tupleOf(1)}
+	known := Packet{Service: 1, TargetIncarnation: 1, Ballot: Ballot{Version: before.Version}, EarlierPicksComplete: true, Tuple: tupleOf(1)}
 	first := known
-	is.True(a.Receive(0, &first).Opened)
+	is.True(a.Receive(0, &first).BecameOwner)
 	a.SetView(0, after)
 	is.Equal(a.Receive(0, &known).Verdict, Deliver) // keeps what it owns
-	fresh := Packet{Service: 1, Target: 1, Ballot: Ballot{Version: before.Version}, Informed: true, Tuple: tupleOf(2)}
+	fresh := Packet{Service: 1, TargetIncarnation: 1, Ballot: Ballot{Version: before.Version}, EarlierPicksComplete: true, Tuple: tupleOf(2)}
 	action := a.Receive(0, &fresh)
 	is.Equal(action.Verdict, Relay)
 	is.Equal(action.To, PeerOf(after, 1))
@@ -155,7 +155,7 @@
 	}
 	all.Prepare()
 	a.SetView(0, all)
-	fresh = Packet{Service: 1, Target: 1, Ballot: Ballot{Version: all.Version}, Informed: true, Tuple: tupleOf(3)}
+	fresh = Packet{Service: 1, TargetIncarnation: 1, Ballot: Ballot{Version: all.Version}, EarlierPicksComplete: true, Tuple: tupleOf(3)}
 	is.Equal(a.Receive(time.Minute, &fresh).Reason, NoTarget) // earlier picks no longer count
 	_, err := balancerOn(all).Forward(tupleOf(1))
 	is.NoErr(err) // flows of draining hosts are still forwarded
@@ -166,7 +166,7 @@
 	v, without := hosts(2, 1), hosts(1, 2)
 	a := agentOn(v, 0)
 	receive := func(now time.Duration, i int) Verdict {
-		p := Packet{Service: 1, Target: 1, Ballot: Ballot{Version: v.Version}, Informed: true, Tuple: tupleOf(i), Priors: Priors{PeerOf(v, 1)}}
+		p := Packet{Service: 1, TargetIncarnation: 1, Ballot: Ballot{Version: v.Version}, EarlierPicksComplete: true, Tuple: tupleOf(i), EarlierPicks: EarlierPicks{PeerOf(v, 1)}}
 		return a.Receive(now, &p).Verdict
 	}
 	for i := range 4 {
@@ -176,7 +176,7 @@
 	a.SetView(0, without)
 	is.Equal(receive(1400*time.Millisecond, 6), Deliver)
 	is.Equal(receive(3*time.Second, 7), Relay) // asked again after a while
-	a.Heard(PeerOf(v, 1))
+	a.MarkResponsive(PeerOf(v, 1))
 	is.Equal(receive(3100*time.Millisecond, 8), Relay)
 }
 
@@ -185,10 +185,10 @@
 	v := hosts(1, 1)
 	a := agentOn(v, 0)
 	for i := range 100 {
-		p := Packet{Service: 1, Target: 1, Ballot: Ballot{Version: v.Version}, Informed: true, Tuple: tupleOf(i)}
+		p := Packet{Service: 1, TargetIncarnation: 1, Ballot: Ballot{Version: v.Version}, EarlierPicksComplete: true, Tuple: tupleOf(i)}
 		a.Receive(0, &p)
 	}
-	a.Learn(0, Peer{Seed: 9, Incarnation: 1}, Peer{Seed: 9, Incarnation: 1}, []ID{tupleOf(1000).ID()})
+	a.StorePointers(0, Peer{Seed: 9, Incarnation: 1}, Peer{Seed: 9, Incarnation: 1}, []ID{tupleOf(1000).ID()})
 	a.Touch(4*time.Minute, tupleOf(7).ID())
 	sweep := func(now time.Duration) (ended int) {
 		for turn := range shardCount {
@@ -199,11 +199,11 @@
 	is.Equal(sweep(5*time.Minute), 0)
 	is.Equal(sweep(6*time.Minute), 99)
 	is.True(a.Owns(tupleOf(7).ID()))
-	is.Equal(a.Flows(), 1)
-	is.Equal(a.Holdings()[1].Flows, 1) // pointers live longer
-	a.End(tupleOf(7).ID())
+	is.Equal(a.OwnedCount(), 1)
+	is.Equal(a.FlowsByOwner()[1].Flows, 1) // pointers live longer
+	a.RemoveFlow(tupleOf(7).ID())
 	is.Equal(sweep(time.Hour), 0)
-	is.Equal(len(a.Holdings()), 1)
+	is.Equal(len(a.FlowsByOwner()), 1)
 }
 
 func TestTableAgainstMap(t *testing.T) {
@@ -240,7 +240,7 @@
 	a := agentOn(v, 0)
 	worst := 0.0
 	for n := 1; n <= 300_000; n++ {
-		p := Packet{Service: 1, Target: 1, Ballot: Ballot{Version: v.Version}, Informed: true, Tuple: tupleOf(n)}
+		p := Packet{Service: 1, TargetIncarnation: 1, Ballot: Ballot{Version: v.Version}, EarlierPicksComplete: true, Tuple: tupleOf(n)}
 		a.Receive(0, &p)
 		if n >= 100_000 && n%20_000 == 0 {
 			worst = max(worst, float64(a.TableBytes())/float64(n))
@@ -255,7 +255,7 @@
 	v := hosts(7, 1)
 	b, a := balancerOn(v), agentOn(v, 0)
 	i := 0
-	p := Packet{Service: 1, Target: 1, Ballot: Ballot{Version: v.Version}, Informed: true, Tuple: tupleOf(1)}
+	p := Packet{Service: 1, TargetIncarnation: 1, Ballot: Ballot{Version: v.Version}, EarlierPicksComplete: true, Tuple: tupleOf(1)}
 	first := p
 	a.Receive(0, &p)
 	is.Equal(testing.AllocsPerRun(1000, func() { i++; _, _ = b.Forward(tupleOf(i)) }), 0.0)
--- a/core/flow/interleave_test.go
+++ b/core/flow/interleave_test.go
@@ -155,7 +155,7 @@
 	a := r.agents[m.to]
 	id := tupleOf(1).ID()
 	if m.tell != nil {
-		a.Learn(0, *m.tell, *m.tell, []ID{id})
+		a.StorePointers(0, *m.tell, *m.tell, []ID{id})
 		return
 	}
 	action := a.Receive(0, &m.packet)
@@ -165,8 +165,8 @@
 	case Relay:
 		r.queue = append(r.queue, message{to: hostOf(action.To), packet: m.packet})
 	}
-	if !action.Tell.IsZero() {
-		m := message{to: hostOf(action.Tell), tell: &action.Owner}
+	if !action.PointerRecipient.IsZero() {
+		m := message{to: hostOf(action.PointerRecipient), tell: &action.Owner}
 		if !slices.ContainsFunc(r.queue, func(o message) bool { return o.tell != nil && o.to == m.to && *o.tell == *m.tell }) {
 			r.queue = append(r.queue, m)
 		}
@@ -192,8 +192,8 @@
 			continue
 		}
 		queue[i] = fmt.Sprint([]string{"search ", "ask ", "assign "}[p.Kind], m.to, " ", p.Ballot, " home ", p.Home.Addr,
-			" rival ", p.Rival.Addr, " priors ", p.Priors[0].Addr, p.Priors[1].Addr,
-			" answer ", p.Answer, " denied ", p.Denied[:p.Denials])
+			" rival ", p.SupersededHome.Addr, " priors ", p.EarlierPicks[0].Addr, p.EarlierPicks[1].Addr,
+			" answer ", p.PointerRequested, " denied ", p.NonOwners[:p.NonOwnerCount])
 	}
 	slices.Sort(queue)
 	fmt.Fprint(&b, strings.Join(queue, " | "), " lost ", r.lost, r.owners)
--- a/core/flow/packet.go
+++ b/core/flow/packet.go
@@ -23,31 +23,31 @@
 	return Peer{Seed: v.Seed(i), Incarnation: m.Incarnation, Addr: m.Packets}
 }
 
-// Kind tells what the receiver of a packet is asked to do.
-type Kind uint8
+// PacketKind tells what the receiver of a packet is asked to do.
+type PacketKind uint8
 
 // The kinds of packet.
 const (
 	// Search makes the receiver the flow's home: it finds the owner, or takes
 	// the flow. Balancers send it, and so do agents that deny owning a flow.
-	Search Kind = iota
-	// Ask is delivered by the flow's owner. Another receiver denies it, back to
+	Search PacketKind = iota
+	// Query is delivered by the flow's owner. Another receiver denies it, back to
 	// the home that asked.
-	Ask
+	Query
 	// Assign lends the ballot to the receiver, on which home has placed the flow.
 	Assign
 
 	kinds
 )
 
-// MaxPriors is the number of earlier picks that a balancer names at most.
-const MaxPriors = 4
+// MaxEarlierPicks is the number of earlier picks that a balancer names at most.
+const MaxEarlierPicks = 4
 
-// Priors are earlier picks, followed by zero values.
-type Priors [MaxPriors]Peer
+// EarlierPicks are earlier picks, followed by zero values.
+type EarlierPicks [MaxEarlierPicks]Peer
 
 // add appends a peer unless p holds it, and reports false if there is no room.
-func (p *Priors) add(peer Peer) bool {
+func (p *EarlierPicks) add(peer Peer) bool {
 	for i := range p {
 		if p[i].Seed == peer.Seed {
 			return true
@@ -60,36 +60,36 @@
 	return false
 }
 
-// MaxDenied is the number of denials that one packet carries at most.
-const MaxDenied = 7
+// MaxNonOwners is the number of denials that one packet carries at most.
+const MaxNonOwners = 7
 
 // Packet is the envelope of one caller datagram between processes.
 type Packet struct {
-	Kind    Kind
+	Kind    PacketKind
 	Service view.ServiceID
 	// Ballot is the one whose home the receiver or, for an Ask, Home is.
 	Ballot Ballot
 	Tuple  Tuple
-	// Target is the run of the agent that the packet is meant for.
-	Target view.Incarnation
-	// Priors are the agents that earlier views placed the flow on, the newest
+	// TargetIncarnation is the run of the agent that the packet is meant for.
+	TargetIncarnation view.Incarnation
+	// EarlierPicks are the agents that earlier views placed the flow on, the newest
 	// first; zero where there are fewer. Those in Denied may be left out.
-	Priors Priors
-	// Informed tells that Priors holds the homes of all earlier ballots that the
+	EarlierPicks EarlierPicks
+	// EarlierPicksComplete tells that Priors holds the homes of all earlier ballots that the
 	// view of Ballot knows of. A home whose own view is older takes no flow
 	// otherwise.
-	Informed bool
+	EarlierPicksComplete bool
 	// Home is the agent that searches for the owner; set on Ask and Assign.
 	Home Peer
-	// Rival is a home that a newer ballot has overruled and that is to promise,
+	// SupersededHome is a home that a newer ballot has overruled and that is to promise,
 	// or zero.
-	Rival Peer
-	// Answer is set on an Ask if the owner is to tell the home about itself.
-	Answer bool
-	// Denied[:Denials] are the seeds of agents that do not own the flow and have
+	SupersededHome Peer
+	// PointerRequested is set on an Ask if the owner is to tell the home about itself.
+	PointerRequested bool
+	// NonOwners[:Denials] are the seeds of agents that do not own the flow and have
 	// promised not to take it under a ballot older than Ballot.
-	Denied  [MaxDenied]uint64
-	Denials uint8
+	NonOwners     [MaxNonOwners]uint64
+	NonOwnerCount uint8
 	// Hops counts the agents that have relayed the packet.
 	Hops uint8
 }
@@ -99,12 +99,12 @@
 	if !b.Newer(p.Ballot) {
 		return
 	}
-	p.Ballot, p.Denials, p.Informed = b, 0, false
+	p.Ballot, p.NonOwnerCount, p.EarlierPicksComplete = b, 0, false
 }
 
-// Denies reports whether the agent of a seed is among Denied.
-func (p *Packet) Denies(seed uint64) bool {
-	for _, d := range p.Denied[:p.Denials] {
+// IsNonOwner reports whether the agent of a seed is among Denied.
+func (p *Packet) IsNonOwner(seed uint64) bool {
+	for _, d := range p.NonOwners[:p.NonOwnerCount] {
 		if d == seed {
 			return true
 		}
@@ -113,9 +113,9 @@
 }
 
 func (p *Packet) deny(seed uint64) {
-	if p.Denials < MaxDenied && !p.Denies(seed) {
-		p.Denied[p.Denials] = seed
-		p.Denials++
+	if p.NonOwnerCount < MaxNonOwners && !p.IsNonOwner(seed) {
+		p.NonOwners[p.NonOwnerCount] = seed
+		p.NonOwnerCount++
 	}
 }
 
@@ -128,25 +128,25 @@
 	Deliver Verdict = iota
 	// Relay sends the packet, as Receive has rewritten it, to Action.To.
 	Relay
-	// Refuse drops the packet for Action.Reason.
-	Refuse
+	// Drop drops the packet for Action.Reason.
+	Drop
 )
 
-// Reason tells why a packet was dropped.
-type Reason uint8
+// DropReason tells why a packet was dropped.
+type DropReason uint8
 
 // The reasons of balancers and agents.
 const (
-	NoReason         Reason = iota
-	UnknownAddress          // no service has the destination address
-	NoView                  // no view of the service has been adopted
-	NoTarget                // no backend server takes new flows
-	WrongService            // the packet is for another service
-	WrongIncarnation        // the packet is for another run of the agent
-	WrongAddress            // the service no longer has the destination address
-	HopLimit                // relayed too often
-	Malformed               // a kind or field outside its range
-	reasons                 // the number of reasons
+	NoReason         DropReason = iota
+	UnknownAddress              // no service has the destination address
+	NoView                      // no view of the service has been adopted
+	NoTarget                    // no backend server takes new flows
+	WrongService                // the packet is for another service
+	WrongIncarnation            // the packet is for another run of the agent
+	WrongAddress                // the service no longer has the destination address
+	HopLimit                    // relayed too often
+	Malformed                   // a kind or field outside its range
+	reasons                     // the number of reasons
 )
 
 var reasonNames = [reasons]string{
@@ -155,7 +155,7 @@
 }
 
 // String returns the reason in lower-case words.
-func (r Reason) String() string {
+func (r DropReason) String() string {
 	if r < reasons {
 		return reasonNames[r]
 	}
@@ -166,12 +166,12 @@
 type Action struct {
 	Verdict Verdict
 	// Reason is set with Refuse.
-	Reason Reason
-	// Opened is set with Deliver if the agent has just taken the flow.
-	Opened bool
+	Reason DropReason
+	// BecameOwner is set with Deliver if the agent has just taken the flow.
+	BecameOwner bool
 	// To is the receiver of a Relay.
 	To Peer
-	// Tell, unless zero, is an agent that is to be sent a pointer to Owner.
-	Tell  Peer
-	Owner Peer
+	// PointerRecipient, unless zero, is an agent that is to be sent a pointer to Owner.
+	PointerRecipient Peer
+	Owner            Peer
 }
--- a/core/flow/returnpath.go
+++ b/core/flow/returnpath.go
@@ -41,8 +41,8 @@
 	return r
 }
 
-// Heard notes that a balancer sent something.
-func (r *ReturnPaths) Heard(balancer netip.AddrPort, now time.Time) {
+// MarkSeen notes that a balancer sent something.
+func (r *ReturnPaths) MarkSeen(balancer netip.AddrPort, now time.Time) {
 	if at := r.paths.Load().heard[balancer]; at != nil {
 		at.Store(now.UnixNano())
 		return
@@ -59,8 +59,8 @@
 	r.publish(heard)
 }
 
-// List replaces the balancers that control reports as live.
-func (r *ReturnPaths) List(balancers []netip.AddrPort) {
+// SetBalancers replaces the balancers that control reports as live.
+func (r *ReturnPaths) SetBalancers(balancers []netip.AddrPort) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.listed = slices.Clone(balancers)
--- a/core/flow/returnpath_test.go
+++ b/core/flow/returnpath_test.go
@@ -30,9 +30,9 @@
 			is := is.New(t)
 			r := NewReturnPaths()
 			for _, b := range c.heard {
-				r.Heard(b, start)
+				r.MarkSeen(b, start)
 			}
-			r.List(c.listed)
+			r.SetBalancers(c.listed)
 			now := start.Add(c.quiet)
 			r.Expire(now)
 			got := []netip.AddrPort{r.Choose(first, start, now), r.Choose(first, start, now)}
--- a/core/flow/search.go
+++ b/core/flow/search.go
@@ -42,7 +42,7 @@
 	if earlier, ok := r.nextEarlier(current); ok {
 		return r.ask(earlier, true)
 	}
-	if !r.packet.Informed && (current == nil || r.packet.Ballot.Version.Newer(current.view.Version)) {
+	if !r.packet.EarlierPicksComplete && (current == nil || r.packet.Ballot.Version.Newer(current.view.Version)) {
 		return r.agent.refuse(NoView)
 	}
 	if current != nil && current.view.Resting() && !r.packet.Ballot.Version.Newer(current.view.Version) {
@@ -83,9 +83,9 @@
 		return r.askOwner(e)
 	}
 	r.packet.raise(bound)
-	r.packet.Kind = Ask
+	r.packet.Kind = Query
 	r.packet.Home = home
-	r.packet.Answer = true
+	r.packet.PointerRequested = true
 	if action, ok := r.passOn(home, e); ok {
 		return action, true
 	}
@@ -99,7 +99,7 @@
 		return Action{}, false
 	}
 	owner := r.agent.peers.peer(e.slot())
-	if r.packet.Denies(owner.Seed) || r.agent.gone(owner, e.slot(), r.now) {
+	if r.packet.IsNonOwner(owner.Seed) || r.agent.gone(owner, e.slot(), r.now) {
 		e.owner = ownerNone
 		return Action{}, false
 	}
@@ -125,10 +125,10 @@
 
 // nextEarlier returns the home of an earlier ballot that has not promised yet.
 func (r *request) nextEarlier(current *adopted) (Peer, bool) {
-	if p := r.packet.Rival; !p.IsZero() && r.askable(p) {
+	if p := r.packet.SupersededHome; !p.IsZero() && r.askable(p) {
 		return r.agent.peers.latest(p), true
 	}
-	for _, p := range r.packet.Priors {
+	for _, p := range r.packet.EarlierPicks {
 		if !p.IsZero() && r.askable(p) {
 			return r.agent.peers.latest(p), true
 		}
@@ -176,7 +176,7 @@
 }
 
 func (r *request) askable(p Peer) bool {
-	if p.Seed == r.agent.options.Self.Seed || r.packet.Denies(p.Seed) {
+	if p.Seed == r.agent.options.Self.Seed || r.packet.IsNonOwner(p.Seed) {
 		return false
 	}
 	return !r.agent.gone(p, r.agent.peers.slot(p), r.now)
@@ -211,13 +211,13 @@
 	}
 	slot := e.slot()
 	owner := r.agent.peers.peer(slot)
-	if r.agent.gone(owner, slot, r.now) || owner.Seed == home.Seed || r.packet.Denies(owner.Seed) {
+	if r.agent.gone(owner, slot, r.now) || owner.Seed == home.Seed || r.packet.IsNonOwner(owner.Seed) {
 		return Action{}, false
 	}
 	r.promise(home, r.packet.Ballot)
 	action := r.relay(owner, &r.agent.stats.chased)
-	if r.packet.Answer {
-		action.Tell, action.Owner = home, owner
+	if r.packet.PointerRequested {
+		action.PointerRecipient, action.Owner = home, owner
 	}
 	return action, true
 }
@@ -229,7 +229,7 @@
 	if !bound.Newer(r.packet.Ballot) {
 		return Action{}, false
 	}
-	r.packet.Rival = home
+	r.packet.SupersededHome = home
 	if e.home == homeSelf {
 		r.packet.Kind = Search
 		r.packet.raise(bound)
@@ -248,7 +248,7 @@
 	if !ok || pick.Seed == home.Seed {
 		return Action{}, false
 	}
-	r.packet.Rival = home
+	r.packet.SupersededHome = home
 	if pick.Seed == r.agent.options.Self.Seed {
 		r.packet.Kind = Search
 		r.packet.raise(Ballot{Version: current.view.Version})
@@ -264,8 +264,8 @@
 	if e == nil || e.free() && !r.agent.ballots.ballot(e.bound).Newer(r.packet.Ballot) {
 		return r.take()
 	}
-	r.packet.Kind = Ask
-	r.packet.Answer = true
+	r.packet.Kind = Query
+	r.packet.PointerRequested = true
 	r.packet.raise(r.packet.Ballot.retake())
 	return r.answer()
 }
@@ -278,8 +278,8 @@
 
 func (r *request) deliverFor(home Peer, e *entry) Action {
 	action := r.deliver(e)
-	if r.packet.Answer {
-		action.Tell, action.Owner = home, r.agent.options.Self
+	if r.packet.PointerRequested {
+		action.PointerRecipient, action.Owner = home, r.agent.options.Self
 	}
 	return action
 }
@@ -290,14 +290,14 @@
 	r.agent.owned.Add(1)
 	r.agent.stats.taken.Add(1)
 	r.agent.stats.delivered.Add(1)
-	return Action{Verdict: Deliver, Opened: true}
+	return Action{Verdict: Deliver, BecameOwner: true}
 }
 
 // ask sends the packet to an agent that may own the flow.
 func (r *request) ask(to Peer, answer bool) Action {
-	r.packet.Kind = Ask
+	r.packet.Kind = Query
 	r.packet.Home = r.agent.options.Self
-	r.packet.Answer = answer
+	r.packet.PointerRequested = answer
 	if answer {
 		r.agent.peers.asked(r.agent.peers.slot(to), r.now)
 	}
@@ -317,13 +317,13 @@
 // earlier picks that the view knows of.
 func (r *request) handOverToPick(pick Peer, current *adopted) Action {
 	r.packet.raise(Ballot{Version: current.view.Version})
-	r.packet.Priors, r.packet.Informed = r.priors(current)
+	r.packet.EarlierPicks, r.packet.EarlierPicksComplete = r.priors(current)
 	return r.handOver(pick, r.packet.Ballot)
 }
 
 // priors returns the picks of the earlier versions of the view in force other
 // than this agent, and whether that is all of them.
-func (r *request) priors(current *adopted) (p Priors, all bool) {
+func (r *request) priors(current *adopted) (p EarlierPicks, all bool) {
 	if r.now-current.at > r.agent.options.HistoryWindow {
 		return p, true
 	}
@@ -371,6 +371,6 @@
 	}
 	counter.Add(1)
 	r.packet.Hops++
-	r.packet.Target = to.Incarnation
+	r.packet.TargetIncarnation = to.Incarnation
 	return Action{Verdict: Relay, To: to}
 }
--- a/core/flow/stats.go
+++ b/core/flow/stats.go
@@ -19,15 +19,15 @@
 	refused   [reasons]counter
 }
 
-// Refusals counts dropped packets by reason.
-type Refusals [reasons]uint64
+// DropCounts counts dropped packets by reason.
+type DropCounts [reasons]uint64
 
 // ByName returns the counts that are not 0, by the reason's name.
-func (r Refusals) ByName() map[string]uint64 {
+func (r DropCounts) ByName() map[string]uint64 {
 	out := make(map[string]uint64)
 	for reason, n := range r {
 		if n > 0 {
-			out[Reason(reason).String()] = n
+			out[DropReason(reason).String()] = n
 		}
 	}
 	return out
@@ -35,56 +35,56 @@
 
 // Stats are an agent's counts since its start.
 type Stats struct {
-	Delivered uint64   // packets handed to the backend server
-	Taken     uint64   // flows taken
-	Asked     uint64   // packets relayed to an agent that may own the flow
-	Chased    uint64   // packets relayed along a pointer for another agent
-	Denied    uint64   // packets sent to a home as not owned here
-	Diverted  uint64   // flows placed on another agent for balance
-	Contested uint64   // pointers received for flows that are owned here
-	Refused   Refusals `json:"-"`
+	Delivered    uint64     // packets handed to the backend server
+	Acquired     uint64     `json:"Taken"`  // flows taken
+	Queried      uint64     `json:"Asked"`  // packets relayed to an agent that may own the flow
+	Forwarded    uint64     `json:"Chased"` // packets relayed along a pointer for another agent
+	ReturnedHome uint64     `json:"Denied"` // packets sent to a home as not owned here
+	Diverted     uint64     // flows placed on another agent for balance
+	Contested    uint64     // pointers received for flows that are owned here
+	Dropped      DropCounts `json:"-"`
 }
 
 // Stats returns the counts.
 func (a *Agent) Stats() Stats {
 	s := Stats{
-		Delivered: a.stats.delivered.Load(),
-		Taken:     a.stats.taken.Load(),
-		Asked:     a.stats.asked.Load(),
-		Chased:    a.stats.chased.Load(),
-		Denied:    a.stats.denied.Load(),
-		Diverted:  a.stats.diverted.Load(),
-		Contested: a.stats.contested.Load(),
+		Delivered:    a.stats.delivered.Load(),
+		Acquired:     a.stats.taken.Load(),
+		Queried:      a.stats.asked.Load(),
+		Forwarded:    a.stats.chased.Load(),
+		ReturnedHome: a.stats.denied.Load(),
+		Diverted:     a.stats.diverted.Load(),
+		Contested:    a.stats.contested.Load(),
 	}
-	for i := range s.Refused {
-		s.Refused[i] = a.stats.refused[i].Load()
+	for i := range s.Dropped {
+		s.Dropped[i] = a.stats.refused[i].Load()
 	}
 	return s
 }
 
-// Flows returns the number of flows owned.
-func (a *Agent) Flows() int { return int(a.owned.Load()) }
+// OwnedCount returns the number of flows owned.
+func (a *Agent) OwnedCount() int { return int(a.owned.Load()) }
 
-// Holding is the number of flows that an agent knows one owner to hold.
-type Holding struct {
+// OwnerFlows is the number of flows that an agent knows one owner to hold.
+type OwnerFlows struct {
 	Owner Peer
 	Flows int
 }
 
-// Holdings counts the flows known here by owner: this agent's own first, then
+// FlowsByOwner counts the flows known here by owner: this agent's own first, then
 // those it points to, by seed.
-func (a *Agent) Holdings() []Holding {
+func (a *Agent) FlowsByOwner() []OwnerFlows {
 	counts := make(map[uint32]int)
 	for i := range a.shards {
 		a.shards[i].count(counts)
 	}
-	all := []Holding{{Owner: a.options.Self, Flows: counts[ownerSelf]}}
+	all := []OwnerFlows{{Owner: a.options.Self, Flows: counts[ownerSelf]}}
 	delete(counts, ownerSelf)
 	delete(counts, ownerNone)
 	for owner, n := range counts {
-		all = append(all, Holding{Owner: a.peers.peer(owner - ownerPeer), Flows: n})
+		all = append(all, OwnerFlows{Owner: a.peers.peer(owner - ownerPeer), Flows: n})
 	}
-	slices.SortFunc(all[1:], func(x, y Holding) int {
+	slices.SortFunc(all[1:], func(x, y OwnerFlows) int {
 		if x.Owner.Seed < y.Owner.Seed {
 			return -1
 		}
--- a/core/locator/bench_test.go
+++ b/core/locator/bench_test.go
@@ -38,12 +38,12 @@
 			agent := flow.NewAgent(flow.AgentOptions{Self: self})
 			agent.SetService(service, view.Version{}, []netip.AddrPort{address})
 			agent.SetView(0, before)
-			for i := 0; agent.Flows() < flowsPerHost; i++ {
+			for i := 0; agent.OwnedCount() < flowsPerHost; i++ {
 				if placement.Pick(tupleOf(i).Key(), before) != 0 {
 					continue
 				}
 				agent.Receive(0, &flow.Packet{
-					Service: service, Target: 1, Informed: true, Tuple: tupleOf(i),
+					Service: service, TargetIncarnation: 1, EarlierPicksComplete: true, Tuple: tupleOf(i),
 					Ballot: flow.Ballot{Version: before.Version},
 				})
 			}
--- a/core/locator/changes_test.go
+++ b/core/locator/changes_test.go
@@ -41,7 +41,7 @@
 // end lets an owner end one flow.
 func (w *world) end(t flow.Tuple) {
 	if o, ok := w.owners[t]; ok && w.lives(o) {
-		w.hosts[o.host].agent.End(t.ID())
+		w.hosts[o.host].agent.RemoveFlow(t.ID())
 		delete(w.owners, t)
 	}
 }
@@ -51,7 +51,7 @@
 	var loads []view.Load
 	for _, h := range w.hosts {
 		if h.alive {
-			loads = append(loads, view.Load{Seed: view.SeedOf(h.id()), Flows: uint32(h.agent.Flows())})
+			loads = append(loads, view.Load{Seed: view.SeedOf(h.id()), Flows: uint32(h.agent.OwnedCount())})
 		}
 	}
 	for _, h := range w.hosts {
--- a/core/locator/example_test.go
+++ b/core/locator/example_test.go
@@ -27,7 +27,7 @@
 
 	tuple := flow.Tuple{Caller: netip.MustParseAddrPort("198.51.100.7:5000"), Service: address}
 	agent.Receive(0, &flow.Packet{
-		Service: 1, Target: 1, Ballot: flow.Ballot{Version: before.Version}, Informed: true, Tuple: tuple,
+		Service: 1, TargetIncarnation: 1, Ballot: flow.Ballot{Version: before.Version}, EarlierPicksComplete: true, Tuple: tuple,
 	})
 	agent.SetView(0, after)
 	pusher.SetView(0, after)
--- a/core/locator/locator_test.go
+++ b/core/locator/locator_test.go
@@ -122,10 +122,10 @@
 	w.hosts[0].state, w.hosts[0].weight = view.Draining, 0
 	w.publish()
 	advance()
-	owned := w.hosts[0].agent.Flows()
+	owned := w.hosts[0].agent.OwnedCount()
 	pointers := func() (n int) {
 		for _, h := range w.hosts[1:] {
-			for _, holding := range h.agent.Holdings()[1:] {
+			for _, holding := range h.agent.FlowsByOwner()[1:] {
 				if holding.Owner.Seed == view.SeedOf("host-0") {
 					n += holding.Flows
 				}
@@ -201,7 +201,7 @@
 	var counts []int
 	for _, h := range w.hosts {
 		if h.state == view.Ready {
-			counts = append(counts, h.agent.Flows())
+			counts = append(counts, h.agent.OwnedCount())
 		}
 	}
 	return spreadOf(counts)
--- a/core/locator/sim_test.go
+++ b/core/locator/sim_test.go
@@ -187,7 +187,7 @@
 	for _, b := range w.balancers {
 		if w.quiet || w.rng.IntN(100) == 0 {
 			b.SetView(w.now, w.adopt())
-			b.Tick(w.now)
+			b.ExpireEarlierViews(w.now)
 		}
 	}
 	for _, h := range w.hosts {
@@ -298,13 +298,13 @@
 	case e.packet != nil:
 		w.receivePacket(h, e.packet)
 	case e.batch != nil:
-		h.agent.Learn(w.now, e.batch.From, e.batch.Owner, e.batch.Flows)
+		h.agent.StorePointers(w.now, e.batch.From, e.batch.Owner, e.batch.Flows)
 		if e.batch.Sequence != 0 {
 			self := flow.Peer{Seed: view.SeedOf(h.id()), Incarnation: h.incarnation}
 			w.send(event{to: e.batch.From, ack: &locator.Ack{Sequence: e.batch.Sequence, From: self}})
 		}
 	default:
-		h.agent.Heard(e.ack.From)
+		h.agent.MarkResponsive(e.ack.From)
 		h.pusher.Acked(*e.ack)
 	}
 }
@@ -312,14 +312,14 @@
 func (w *world) receivePacket(h *host, p *flow.Packet) {
 	t := p.Tuple
 	action := h.agent.Receive(w.now, p)
-	if !action.Tell.IsZero() {
-		h.pusher.Tell(action.Tell, action.Owner, t.ID())
+	if !action.PointerRecipient.IsZero() {
+		h.pusher.Tell(action.PointerRecipient, action.Owner, t.ID())
 	}
 	switch action.Verdict {
 	case flow.Relay:
 		w.send(event{to: action.To, packet: p})
 	case flow.Deliver:
-		if action.Opened {
+		if action.BecameOwner {
 			h.pusher.Opened(t.ID())
 		}
 		w.deliver(h, t)
--- a/internal/packet/header.go
+++ b/internal/packet/header.go
@@ -70,7 +70,7 @@
 	TagSize = 16
 
 	// MaxOverhead is the most bytes an envelope adds to a caller's datagram.
-	MaxOverhead = fixedSize + 3*ipv6Size + (flow.MaxPriors+2)*(peerSize+ipv6Size) + flow.MaxDenied*seedSize + TagSize
+	MaxOverhead = fixedSize + 3*ipv6Size + (flow.MaxEarlierPicks+2)*(peerSize+ipv6Size) + flow.MaxNonOwners*seedSize + TagSize
 
 	// reservedPeers and reservedDenials are what envelopes of one datagram may
 	// carry beside the addresses without being refused for the MTU.
@@ -84,13 +84,13 @@
 // is4 reports whether every address of h fits the short form.
 func (h *Header) is4() bool {
 	short := func(a netip.AddrPort) bool { return !a.IsValid() || a.Addr().Is4() }
-	for i := range h.Flow.Priors {
-		if !short(h.Flow.Priors[i].Addr) {
+	for i := range h.Flow.EarlierPicks {
+		if !short(h.Flow.EarlierPicks[i].Addr) {
 			return false
 		}
 	}
 	return short(h.Flow.Tuple.Caller) && short(h.Flow.Tuple.Service) && short(h.ReplyTo) &&
-		short(h.Flow.Home.Addr) && short(h.Flow.Rival.Addr)
+		short(h.Flow.Home.Addr) && short(h.Flow.SupersededHome.Addr)
 }
 
 // MaxPayload returns the longest datagram in bytes that a balancer takes for an
@@ -112,11 +112,11 @@
 		flag byte
 	}{
 		{h.Flow.Ballot.Retake, flagRetake},
-		{h.Flow.Informed, flagInformed},
+		{h.Flow.EarlierPicksComplete, flagInformed},
 		{wide, flagIPv6},
-		{h.Flow.Answer, flagAnswer},
+		{h.Flow.PointerRequested, flagAnswer},
 		{!h.Flow.Home.IsZero(), flagHome},
-		{!h.Flow.Rival.IsZero(), flagRival},
+		{!h.Flow.SupersededHome.IsZero(), flagRival},
 	} {
 		if f.set {
 			flags |= f.flag
@@ -127,9 +127,9 @@
 
 // priors returns the earlier picks that have not denied the flow: the others
 // need not travel on.
-func (h *Header) priors() (p flow.Priors, n int) {
-	for _, prior := range h.Flow.Priors {
-		if !prior.IsZero() && !h.Flow.Denies(prior.Seed) {
+func (h *Header) priors() (p flow.EarlierPicks, n int) {
+	for _, prior := range h.Flow.EarlierPicks {
+		if !prior.IsZero() && !h.Flow.IsNonOwner(prior.Seed) {
 			p[n] = prior
 			n++
 		}
@@ -149,8 +149,8 @@
 	b = binary.BigEndian.AppendUint32(b, uint32(f.Service))
 	b = binary.BigEndian.AppendUint64(b, f.Ballot.Version.Epoch)
 	b = binary.BigEndian.AppendUint64(b, f.Ballot.Version.Number)
-	b = binary.BigEndian.AppendUint64(b, uint64(f.Target))
-	b = append(b, f.Hops, byte(f.Kind)|byte(n)<<kindBits|f.Denials<<(kindBits+priorsBits))
+	b = binary.BigEndian.AppendUint64(b, uint64(f.TargetIncarnation))
+	b = append(b, f.Hops, byte(f.Kind)|byte(n)<<kindBits|f.NonOwnerCount<<(kindBits+priorsBits))
 	b = appendAddr(b, f.Tuple.Caller, wide)
 	b = appendAddr(b, f.Tuple.Service, wide)
 	b = appendAddr(b, h.ReplyTo, wide)
@@ -160,10 +160,10 @@
 	if !f.Home.IsZero() {
 		b = appendPeer(b, f.Home, wide)
 	}
-	if !f.Rival.IsZero() {
-		b = appendPeer(b, f.Rival, wide)
+	if !f.SupersededHome.IsZero() {
+		b = appendPeer(b, f.SupersededHome, wide)
 	}
-	for _, seed := range f.Denied[:f.Denials] {
+	for _, seed := range f.NonOwners[:f.NonOwnerCount] {
 		b = binary.BigEndian.AppendUint64(b, seed)
 	}
 	return b
@@ -177,39 +177,39 @@
 	}
 	flags, counts := b[2], b[countsOffset]
 	size := headerSize(flags, counts)
-	if len(b) < size || priorCount(counts) > flow.MaxPriors {
+	if len(b) < size || priorCount(counts) > flow.MaxEarlierPicks {
 		return 0
 	}
 	wide := flags&flagIPv6 != 0
 	h.Kind = Kind(b[1])
 	h.Flow = flow.Packet{
-		Kind:    flow.Kind(counts & (1<<kindBits - 1)),
+		Kind:    flow.PacketKind(counts & (1<<kindBits - 1)),
 		Service: view.ServiceID(binary.BigEndian.Uint32(b[20:])),
 		Ballot: flow.Ballot{
 			Version: view.Version{Epoch: binary.BigEndian.Uint64(b[24:]), Number: binary.BigEndian.Uint64(b[32:])},
 			Retake:  flags&flagRetake != 0,
 		},
-		Target:   view.Incarnation(binary.BigEndian.Uint64(b[40:])),
-		Informed: flags&flagInformed != 0,
-		Answer:   flags&flagAnswer != 0,
-		Hops:     b[hopsOffset],
-		Denials:  denialCount(counts),
+		TargetIncarnation:    view.Incarnation(binary.BigEndian.Uint64(b[40:])),
+		EarlierPicksComplete: flags&flagInformed != 0,
+		PointerRequested:     flags&flagAnswer != 0,
+		Hops:                 b[hopsOffset],
+		NonOwnerCount:        denialCount(counts),
 	}
 	f, rest := &h.Flow, b[fixedSize:]
 	f.Tuple.Caller, rest = parseAddr(rest, wide)
 	f.Tuple.Service, rest = parseAddr(rest, wide)
 	h.ReplyTo, rest = parseAddr(rest, wide)
 	for i := range priorCount(counts) {
-		f.Priors[i], rest = parsePeer(rest, wide)
+		f.EarlierPicks[i], rest = parsePeer(rest, wide)
 	}
 	if flags&flagHome != 0 {
 		f.Home, rest = parsePeer(rest, wide)
 	}
 	if flags&flagRival != 0 {
-		f.Rival, rest = parsePeer(rest, wide)
+		f.SupersededHome, rest = parsePeer(rest, wide)
 	}
-	for i := range f.Denials {
-		f.Denied[i] = binary.BigEndian.Uint64(rest[int(i)*seedSize:])
+	for i := range f.NonOwnerCount {
+		f.NonOwners[i] = binary.BigEndian.Uint64(rest[int(i)*seedSize:])
 	}
 	return size
 }
--- a/internal/packet/packet_test.go
+++ b/internal/packet/packet_test.go
@@ -35,7 +35,7 @@
 	return Header{
 		Kind: Forward,
 		Flow: flow.Packet{
-			Hops: 3, Service: 7, Target: 11, Informed: true,
+			Hops: 3, Service: 7, TargetIncarnation: 11, EarlierPicksComplete: true,
 			Ballot: flow.Ballot{Version: view.Version{Epoch: 2, Number: 9}},
 			Tuple: flow.Tuple{
 				Caller:  netip.MustParseAddrPort("127.0.0.9:4000"),
@@ -52,16 +52,16 @@
 		return flow.Peer{Seed: uint64(i) << 40, Incarnation: view.Incarnation(i), Addr: addr}
 	}
 	short, prior, full := header(), header(), header()
-	prior.Flow.Priors[0] = peer(3)
-	full.Flow.Kind, full.Flow.Answer, full.Flow.Ballot.Retake = flow.Assign, true, true
-	full.Flow.Home, full.Flow.Rival = peer(4), peer(5)
-	for i := range full.Flow.Priors {
-		full.Flow.Priors[i] = peer(10 + i)
+	prior.Flow.EarlierPicks[0] = peer(3)
+	full.Flow.Kind, full.Flow.PointerRequested, full.Flow.Ballot.Retake = flow.Assign, true, true
+	full.Flow.Home, full.Flow.SupersededHome = peer(4), peer(5)
+	for i := range full.Flow.EarlierPicks {
+		full.Flow.EarlierPicks[i] = peer(10 + i)
 	}
-	for i := range full.Flow.Denied {
-		full.Flow.Denied[i] = uint64(i + 1)
+	for i := range full.Flow.NonOwners {
+		full.Flow.NonOwners[i] = uint64(i + 1)
 	}
-	full.Flow.Denials = flow.MaxDenied
+	full.Flow.NonOwnerCount = flow.MaxNonOwners
 	wide := full
 	wide.Flow.Tuple.Caller = netip.MustParseAddrPort("[2001:db8::1]:4000")
 	for name, h := range map[string]Header{"short": short, "prior": prior, "full": full, "wide": wide} {
@@ -94,13 +94,13 @@
 func TestEarlierPicksThatHaveDeniedTravelNoFurther(t *testing.T) {
 	is := is.New(t)
 	h := header()
-	h.Flow.Priors = flow.Priors{{Seed: 1, Incarnation: 1}, {Seed: 2, Incarnation: 1}}
-	h.Flow.Denied[0], h.Flow.Denials = 1, 1
+	h.Flow.EarlierPicks = flow.EarlierPicks{{Seed: 1, Incarnation: 1}, {Seed: 2, Incarnation: 1}}
+	h.Flow.NonOwners[0], h.Flow.NonOwnerCount = 1, 1
 	b := h.append(nil, 1, 1, 1)
 	var got Header
 	is.True(got.parse(b) == len(b))
-	is.Equal(got.Flow.Priors[0].Seed, uint64(2))
-	is.True(got.Flow.Priors[1].IsZero())
+	is.Equal(got.Flow.EarlierPicks[0].Seed, uint64(2))
+	is.True(got.Flow.EarlierPicks[1].IsZero())
 }
 
 func TestOpenRefuses(t *testing.T) {
--- a/internal/role/agent/announce.go
+++ b/internal/role/agent/announce.go
@@ -52,6 +52,6 @@
 		Draining:    a.draining.Load(),
 		Sequence:    sequence,
 		Holds:       holds,
-		Flows:       uint32(a.owner.flows.Flows()),
+		Flows:       uint32(a.owner.flows.OwnedCount()),
 	}
 }
--- a/internal/role/agent/dump.go
+++ b/internal/role/agent/dump.go
@@ -80,7 +80,7 @@
 		Holdings:       a.owner.holdings(a.options.ID),
 		Unacknowledged: a.owner.pusher.Unacknowledged(),
 		Decisions:      a.owner.flows.Stats(),
-		Dropped:        a.owner.flows.Stats().Refused.ByName(),
+		Dropped:        a.owner.flows.Stats().Dropped.ByName(),
 		Pushes:         a.owner.pusher.Stats(),
 	}
 	if v := a.owner.flows.View(); v != nil {
@@ -93,7 +93,7 @@
 func (o *owner) holdings(self string) []Holding {
 	v := o.flows.View()
 	var out []Holding
-	for _, h := range o.flows.Holdings() {
+	for _, h := range o.flows.FlowsByOwner() {
 		name := h.Owner.Addr.String()
 		if h.Owner.Seed == o.self.Seed {
 			name = self
@@ -108,7 +108,7 @@
 }
 
 // Flows returns the number of flows owned.
-func (a *Agent) Flows() int { return a.owner.flows.Flows() }
+func (a *Agent) Flows() int { return a.owner.flows.OwnedCount() }
 
 // Counters returns the packet counters.
 func (a *Agent) Counters() any { return a.counters() }
--- a/internal/role/agent/owner.go
+++ b/internal/role/agent/owner.go
@@ -77,11 +77,11 @@
 func (o *owner) receive(p *flow.Packet) flow.Action {
 	id := p.Tuple.ID()
 	action := o.flows.Receive(o.elapsed(), p)
-	if action.Opened {
+	if action.BecameOwner {
 		o.pusher.Opened(id)
 	}
-	if !action.Tell.IsZero() {
-		o.pusher.Tell(action.Tell, action.Owner, id)
+	if !action.PointerRecipient.IsZero() {
+		o.pusher.Tell(action.PointerRecipient, action.Owner, id)
 	}
 	return action
 }
--- a/internal/role/agent/packets.go
+++ b/internal/role/agent/packets.go
@@ -63,7 +63,7 @@
 
 // accepts reports whether an envelope is meant for this run of this service.
 func (a *Agent) accepts(h *packet.Header) bool {
-	return h.Flow.Target == a.options.Incarnation && h.Flow.Service == view.ServiceID(a.service.Load())
+	return h.Flow.TargetIncarnation == a.options.Incarnation && h.Flow.Service == view.ServiceID(a.service.Load())
 }
 
 // receive delivers a caller's datagram or relays it to the agent that may own
@@ -101,7 +101,7 @@
 	}
 	now := a.options.Now()
 	o.received(now, h.ReplyTo)
-	a.paths.Heard(h.ReplyTo, now)
+	a.paths.MarkSeen(h.ReplyTo, now)
 	if opened {
 		service := h.Flow.Service
 		a.tasks.Go(func() { a.readBackend(o, service) })
@@ -148,7 +148,7 @@
 	header := packet.Header{
 		Kind:    packet.Reply,
 		ReplyTo: replyTo,
-		Flow:    flow.Packet{Service: service, Target: a.options.Incarnation, Tuple: o.tuple},
+		Flow:    flow.Packet{Service: service, TargetIncarnation: a.options.Incarnation, Tuple: o.tuple},
 	}
 	if len(payload) > header.MaxPayload(a.options.MTU) {
 		// The backend server's path MTU discovery settles below the limit.
@@ -171,7 +171,7 @@
 func (a *Agent) sweep(ctx context.Context) {
 	pace.Every(ctx, sweepInterval, func() {
 		now := a.options.Now()
-		a.flows.expire(a.limits.expired(now), a.owner.flows.End)
+		a.flows.expire(a.limits.expired(now), a.owner.flows.RemoveFlow)
 		a.paths.Expire(now)
 	})
 }
--- a/internal/role/agent/pointers.go
+++ b/internal/role/agent/pointers.go
@@ -42,8 +42,8 @@
 		return
 	}
 	header := packet.Header{Kind: packet.Control, Flow: flow.Packet{
-		Service: view.ServiceID(a.service.Load()),
-		Target:  to.Incarnation,
+		Service:           view.ServiceID(a.service.Load()),
+		TargetIncarnation: to.Incarnation,
 	}}
 	sealed, err := a.sealer.Seal(nil, &header, payload)
 	if err == nil {
@@ -67,12 +67,12 @@
 	switch {
 	case o.Batch != nil:
 		b := o.Batch
-		a.owner.flows.Learn(a.owner.elapsed(), b.From, b.Owner, b.Flows)
+		a.owner.flows.StorePointers(a.owner.elapsed(), b.From, b.Owner, b.Flows)
 		if b.Sequence != 0 {
 			a.sendOwnership(b.From, ownership{Ack: &locator.Ack{Sequence: b.Sequence, From: a.owner.self}})
 		}
 	case o.Ack != nil:
-		a.owner.flows.Heard(o.Ack.From)
+		a.owner.flows.MarkResponsive(o.Ack.From)
 		a.owner.pusher.Acked(*o.Ack)
 	}
 }
--- a/internal/role/agent/succession.go
+++ b/internal/role/agent/succession.go
@@ -44,7 +44,7 @@
 	Sequence    uint64           `cbor:"4,keyasint"`
 	Services    []proto.Service  `cbor:"5,keyasint"`
 	View        *view.View       `cbor:"6,keyasint"`
-	Entries     []flow.Saved     `cbor:"7,keyasint"`
+	Entries     []flow.Record    `cbor:"7,keyasint"`
 	Sockets     []savedSocket    `cbor:"8,keyasint"`
 	Sessions    []packet.Session `cbor:"9,keyasint"`
 }
@@ -134,7 +134,7 @@
 		return &ownedFlow{tuple: tuple, id: tuple.ID(), conn: conn}, nil
 	})
 	if err != nil {
-		a.owner.flows.End(tuple.ID())
+		a.owner.flows.RemoveFlow(tuple.ID())
 		return errSuccession.Wrap(err, "open the socket at %s", s.Local)
 	}
 	o.received(time.Unix(0, s.Seen), s.ReplyTo)
--- a/internal/role/balancer/forwarder.go
+++ b/internal/role/balancer/forwarder.go
@@ -46,7 +46,7 @@
 	}
 	f.SetBindings(f.bindings, bindings)
 	f.setViews(views)
-	f.Forget(func(id view.ServiceID) bool { return ids[id] || !f.ids[id] })
+	f.RetainServices(func(id view.ServiceID) bool { return ids[id] || !f.ids[id] })
 	f.ids = ids
 }
 
@@ -59,5 +59,5 @@
 
 // run ends the windows of earlier views until ctx ends.
 func (f *forwarder) run(ctx context.Context) {
-	pace.Every(ctx, historyInterval, func() { f.Tick(f.now().Sub(f.started)) })
+	pace.Every(ctx, historyInterval, func() { f.ExpireEarlierViews(f.now().Sub(f.started)) })
 }
--- a/internal/segment/agent.go
+++ b/internal/segment/agent.go
@@ -164,8 +164,8 @@
 	now := a.elapsed()
 	a.balancers.heard(now, h.ReplyTo)
 	arrival := steer.Arrival{
-		Service: h.Flow.Service, Position: h.Flow.Ballot.Version, Run: h.Flow.Target, Balancer: h.ReplyTo,
-		Hops: h.Flow.Hops, Informed: h.Flow.Informed,
+		Service: h.Flow.Service, Position: h.Flow.Ballot.Version, Run: h.Flow.TargetIncarnation, Balancer: h.ReplyTo,
+		Hops: h.Flow.Hops, Informed: h.Flow.EarlierPicksComplete,
 	}
 	decision := a.host.Receive(now, &segment.Segment, arrival)
 	if decision.Refusal != steer.NoRefusal {
@@ -205,8 +205,8 @@
 	a.send(arrival.Balancer, &packet.Header{
 		Kind: packet.Returned, ReplyTo: a.conn.Addr(),
 		Flow: flow.Packet{
-			Service: arrival.Service, Tuple: s.Tuple, Hops: arrival.Hops, Informed: arrival.Informed,
-			Answer: why == steer.Ended, Denied: [flow.MaxDenied]uint64{a.seed()}, Denials: 1,
+			Service: arrival.Service, Tuple: s.Tuple, Hops: arrival.Hops, EarlierPicksComplete: arrival.Informed,
+			PointerRequested: why == steer.Ended, NonOwners: [flow.MaxNonOwners]uint64{a.seed()}, NonOwnerCount: 1,
 		},
 	}, payload)
 }
--- a/internal/segment/balancer.go
+++ b/internal/segment/balancer.go
@@ -246,14 +246,14 @@
 
 func (b *Balancer) returned(h *packet.Header, payload []byte) {
 	segment, err := b.options.Codec.Decode(payload, FromCaller)
-	if err != nil || h.Flow.Denials == 0 {
+	if err != nil || h.Flow.NonOwnerCount == 0 {
 		b.counts.garbled.Add(1)
 		return
 	}
 	b.decisions.returned.Add(1)
 	now := b.elapsed()
 	decision := b.steer.Returned(now, &segment.Segment, steer.Return{
-		Service: h.Flow.Service, Seed: h.Flow.Denied[0], Hops: h.Flow.Hops, Ended: h.Flow.Answer,
+		Service: h.Flow.Service, Seed: h.Flow.NonOwners[0], Hops: h.Flow.Hops, Ended: h.Flow.PointerRequested,
 	})
 	b.carryOut(now, &segment.Segment, decision, payload)
 }
@@ -304,8 +304,8 @@
 	b.send(d.To.Addr, &packet.Header{
 		Kind: packet.Forward, ReplyTo: b.conn.Addr(),
 		Flow: flow.Packet{
-			Service: d.Service, Ballot: flow.Ballot{Version: b.position(d.Service)}, Target: d.To.Incarnation,
-			Tuple: s.Tuple, Hops: d.Hops, Informed: d.Informed,
+			Service: d.Service, Ballot: flow.Ballot{Version: b.position(d.Service)}, TargetIncarnation: d.To.Incarnation,
+			Tuple: s.Tuple, Hops: d.Hops, EarlierPicksComplete: d.Informed,
 		},
 	}, payload)
 }
--- a/tools/capacity/measure_flow.go
+++ b/tools/capacity/measure_flow.go
@@ -69,7 +69,7 @@
 	a.SetService(v.Service, v.Version, []netip.AddrPort{serviceAddr(0)})
 	a.SetView(0, v)
 	b := balancerOn(v)
-	for i := 0; a.Flows() < flows; i++ {
+	for i := 0; a.OwnedCount() < flows; i++ {
 		if p := packetTo(b, i, self); p != nil {
 			a.Receive(0, p)
 		}
