--- a/core/admission/admission.go
+++ b/core/admission/admission.go
@@ -40,8 +40,8 @@
 
 // The verdicts of a Limiter.
 const (
-	Start Verdict = iota // it has a slot
-	Wait                 // it is queued
+	Admit Verdict = iota // it has a slot
+	Queue                // it is queued
 	Shed                 // it was refused and holds nothing
 )
 
@@ -135,8 +135,8 @@
 // Slots returns the number of slots.
 func (l *Limiter) Slots() int { return l.slots }
 
-// Queued returns the number of requests of a class that wait.
-func (l *Limiter) Queued(class int) int { return len(l.classes[class].queue) }
+// QueueLength returns the number of requests of a class that wait.
+func (l *Limiter) QueueLength(class int) int { return len(l.classes[class].queue) }
 
 // SetSlots changes the number of slots, as a host warms up or its limit is
 // adapted. Slots in use are not taken back.
@@ -147,16 +147,16 @@
 	return l.out
 }
 
-// Arrive decides on a new request. The last decision is on the request itself;
+// Acquire decides on a new request. The last decision is on the request itself;
 // any before it are on requests of its class that waited too long. The slice
 // is valid until the next call.
-func (l *Limiter) Arrive(now time.Time, r Request) []Decision {
+func (l *Limiter) Acquire(now time.Time, r Request) []Decision {
 	l.out = l.out[:0]
 	c := &l.classes[r.Class]
 	l.purge(now, c)
 	if l.inUse < l.slots && l.neediest(now) < 0 {
 		l.start(now, r.ID, r.Class)
-		l.out = append(l.out, Decision{ID: r.ID, Verdict: Start})
+		l.out = append(l.out, Decision{ID: r.ID, Verdict: Admit})
 		return l.out
 	}
 	wait := l.expectedWait(c)
@@ -169,7 +169,7 @@
 		l.waiting = append(l.waiting, r.Class)
 	}
 	c.queue = append(c.queue, queued{id: r.ID, expires: now.Add(limit)})
-	l.out = append(l.out, Decision{ID: r.ID, Verdict: Wait})
+	l.out = append(l.out, Decision{ID: r.ID, Verdict: Queue})
 	return l.out
 }
 
@@ -221,8 +221,8 @@
 	}
 }
 
-// Tick sheds requests that have waited too long.
-func (l *Limiter) Tick(now time.Time) []Decision {
+// ShedExpired sheds requests that have waited too long.
+func (l *Limiter) ShedExpired(now time.Time) []Decision {
 	l.out = l.out[:0]
 	for _, i := range l.waiting {
 		l.purge(now, &l.classes[i])
@@ -251,7 +251,7 @@
 		id := c.queue[0].id
 		c.queue = c.queue[1:]
 		l.start(now, id, i)
-		l.out = append(l.out, Decision{ID: id, Verdict: Start})
+		l.out = append(l.out, Decision{ID: id, Verdict: Admit})
 	}
 }
 
--- a/core/admission/admission_test.go
+++ b/core/admission/admission_test.go
@@ -19,7 +19,7 @@
 }
 
 func arrive(l *Limiter, now time.Time, id uint64, class int) Decision {
-	ds := l.Arrive(now, Request{ID: id, Class: class, Deadline: now.Add(time.Minute)})
+	ds := l.Acquire(now, Request{ID: id, Class: class, Deadline: now.Add(time.Minute)})
 	return ds[len(ds)-1]
 }
 
@@ -27,15 +27,15 @@
 	is := is.New(t)
 	l := testLimiter()
 	for id := range uint64(4) {
-		is.Equal(arrive(l, t0, id, 0).Verdict, Start) // beyond the share of two
+		is.Equal(arrive(l, t0, id, 0).Verdict, Admit) // beyond the share of two
 	}
-	is.Equal(arrive(l, t0, 4, 0).Verdict, Wait)
-	is.Equal(arrive(l, t0, 5, 1).Verdict, Wait)
-	is.Equal(arrive(l, t0, 6, 1).Verdict, Wait)
+	is.Equal(arrive(l, t0, 4, 0).Verdict, Queue)
+	is.Equal(arrive(l, t0, 5, 1).Verdict, Queue)
+	is.Equal(arrive(l, t0, 6, 1).Verdict, Queue)
 	now := t0.Add(10 * time.Millisecond)
-	is.Equal(l.Release(now, 0), []Decision{{ID: 5, Verdict: Start}})
-	is.Equal(l.Release(now, 1), []Decision{{ID: 6, Verdict: Start}})
-	is.Equal(l.Release(now, 2), []Decision{{ID: 4, Verdict: Start}})
+	is.Equal(l.Release(now, 0), []Decision{{ID: 5, Verdict: Admit}})
+	is.Equal(l.Release(now, 1), []Decision{{ID: 6, Verdict: Admit}})
+	is.Equal(l.Release(now, 2), []Decision{{ID: 4, Verdict: Admit}})
 	is.Equal(l.InUse(), 4)
 }
 
@@ -46,7 +46,7 @@
 		deadline time.Duration
 		want     Verdict
 	}{
-		{"room", 0, time.Minute, Wait},
+		{"room", 0, time.Minute, Queue},
 		{"queue full", 3, time.Minute, Shed},
 		{"could not end by its deadline", 0, firstService - 1, Shed},
 		{"wait would outlast its deadline", 2, firstService + time.Millisecond, Shed},
@@ -58,7 +58,7 @@
 			for id := range uint64(4 + tt.queue) {
 				arrive(l, t0, id, 0)
 			}
-			ds := l.Arrive(t0, Request{ID: 99, Class: 0, Deadline: t0.Add(tt.deadline)})
+			ds := l.Acquire(t0, Request{ID: 99, Class: 0, Deadline: t0.Add(tt.deadline)})
 			is.Equal(ds[0].Verdict, tt.want)
 			is.Equal(ds[0].RetryAfter >= minRetryAfter, tt.want == Shed)
 		})
@@ -72,19 +72,19 @@
 		arrive(l, t0, id, 0)
 	}
 	l.Release(t0, 5) // withdrawn by its caller
-	is.Equal(l.Queued(0), 1)
-	is.Equal(len(l.Tick(t0.Add(99*time.Millisecond))), 0)
-	ds := l.Arrive(t0.Add(100*time.Millisecond), Request{ID: 7, Class: 0, Deadline: t0.Add(time.Minute)})
+	is.Equal(l.QueueLength(0), 1)
+	is.Equal(len(l.ShedExpired(t0.Add(99*time.Millisecond))), 0)
+	ds := l.Acquire(t0.Add(100*time.Millisecond), Request{ID: 7, Class: 0, Deadline: t0.Add(time.Minute)})
 	is.Equal(len(ds), 2)
 	is.Equal(ds[0].ID, uint64(4))
 	is.Equal(ds[0].Verdict, Shed)
-	is.Equal(ds[1].Verdict, Wait)
-	is.Equal(l.SetSlots(t0.Add(101*time.Millisecond), 5), []Decision{{ID: 7, Verdict: Start}})
+	is.Equal(ds[1].Verdict, Queue)
+	is.Equal(l.SetSlots(t0.Add(101*time.Millisecond), 5), []Decision{{ID: 7, Verdict: Admit}})
 }
 
 func TestConcurrencyFollowsLatency(t *testing.T) {
 	is := is.New(t)
-	c := NewConcurrency(ConcurrencyOptions{Min: 1, Max: 4, Tolerance: 2, Window: 4})
+	c := NewConcurrencyLimit(ConcurrencyLimitOptions{Min: 1, Max: 4, MaxLatencyRatio: 2, SampleWindow: 4})
 	observe := func(n int, latency time.Duration, failed bool) {
 		for range n {
 			c.Observe(latency, 3, failed)
@@ -102,22 +102,22 @@
 
 func TestRamp(t *testing.T) {
 	is := is.New(t)
-	r := Ramp{Start: t0, Duration: 10 * time.Second, First: 0.1}
-	is.Equal(r.Slots(t0, 4), 1)
-	is.Equal(r.Slots(t0.Add(5*time.Second), 4), 2)
-	is.Equal(r.Slots(t0.Add(10*time.Second), 4), 4)
-	is.Equal(Ramp{}.At(t0), 1.0)
+	r := Ramp{Start: t0, Duration: 10 * time.Second, InitialFraction: 0.1}
+	is.Equal(r.SlotsAt(t0, 4), 1)
+	is.Equal(r.SlotsAt(t0.Add(5*time.Second), 4), 2)
+	is.Equal(r.SlotsAt(t0.Add(10*time.Second), 4), 4)
+	is.Equal(Ramp{}.FractionAt(t0), 1.0)
 }
 
-func testPool(hosts ...Host) *Pool {
+func testPool(hosts ...BackendServer) *Pool {
 	p := NewPool(PoolOptions{
-		Zone: "z0", Link: 6 * time.Millisecond, HalfLife: time.Second, EjectAfter: 3,
-		EjectFor: time.Second, MaxEjected: 0.5, SlowStart: 10 * time.Second,
+		Zone: "z0", CrossZoneCost: 6 * time.Millisecond, ReportHalfLife: time.Second, EjectAfterFailures: 3,
+		BaseEjectionTime: time.Second, MaxEjectedFraction: 0.5, SlowStartDuration: 10 * time.Second,
 	})
 	for i := range hosts {
 		hosts[i].Slots, hosts[i].Weight = 4, 1
 	}
-	p.SetHosts(hosts)
+	p.SetBackendServers(hosts)
 	return p
 }
 
@@ -131,7 +131,7 @@
 	}
 	for id, k := range n {
 		for range k {
-			p.Done(now, id, Abandoned, 0)
+			p.Done(now, id, Canceled, 0)
 		}
 	}
 	return n
@@ -139,7 +139,7 @@
 
 func TestOwnZoneFirstUntilItCostsMore(t *testing.T) {
 	is := is.New(t)
-	p := testPool(Host{ID: "near", Zone: "z0"}, Host{ID: "far", Zone: "z1"})
+	p := testPool(BackendServer{ID: "near", Zone: "z0"}, BackendServer{ID: "far", Zone: "z1"})
 	is.Equal(share(p, t0, 3)["far"], 0)
 	n := share(p, t0, 40)
 	is.True(n["far"] > 10)
@@ -148,8 +148,8 @@
 
 func TestReportsDecay(t *testing.T) {
 	is := is.New(t)
-	p := testPool(Host{ID: "a", Zone: "z0"}, Host{ID: "b", Zone: "z0"})
-	p.Report(t0, "a", 8)
+	p := testPool(BackendServer{ID: "a", Zone: "z0"}, BackendServer{ID: "b", Zone: "z0"})
+	p.ReportLoad(t0, "a", 8)
 	is.Equal(share(p, t0, 6)["a"], 0)
 	n := share(p, t0.Add(20*time.Second), 40)
 	is.True(n["a"] >= 15 && n["b"] >= 15)
@@ -157,18 +157,18 @@
 
 func TestShedLowersWeightWithoutEjecting(t *testing.T) {
 	is := is.New(t)
-	p := testPool(Host{ID: "a", Zone: "z0"}, Host{ID: "b", Zone: "z0"})
+	p := testPool(BackendServer{ID: "a", Zone: "z0"}, BackendServer{ID: "b", Zone: "z0"})
 	for range 20 {
-		p.Done(t0, "a", Refused, 0)
+		p.Done(t0, "a", Rejected, 0)
 	}
-	is.Equal(p.Ejected(), 0)
+	is.Equal(p.EjectedCount(), 0)
 	n := share(p, t0, 40)
 	is.True(n["a"] > 0 && n["a"] < n["b"]/4)
 }
 
 func TestEjectedHostReturnsByProbe(t *testing.T) {
 	is := is.New(t)
-	p := testPool(Host{ID: "a", Zone: "z0"}, Host{ID: "b", Zone: "z0"})
+	p := testPool(BackendServer{ID: "a", Zone: "z0"}, BackendServer{ID: "b", Zone: "z0"})
 	fail := func(id string) {
 		for range 3 {
 			p.Done(t0, id, Failed, 0)
@@ -176,20 +176,20 @@
 	}
 	fail("a")
 	fail("b")
-	is.Equal(p.Ejected(), 1) // never more than half
+	is.Equal(p.EjectedCount(), 1) // never more than half
 	is.Equal(share(p, t0, 20)["a"], 0)
 	due := func(after time.Duration) bool {
-		id, ok := p.DueProbe(t0.Add(after))
+		id, ok := p.NextProbe(t0.Add(after))
 		return ok && id == "a"
 	}
 	is.True(!due(999 * time.Millisecond))
 	is.True(due(time.Second))
 	is.True(!due(time.Second)) // one at a time
-	p.Probed(t0.Add(time.Second), "a", false)
+	p.ProbeDone(t0.Add(time.Second), "a", false)
 	is.True(!due(2900 * time.Millisecond)) // twice as long
 	is.True(due(3 * time.Second))
-	p.Probed(t0.Add(3*time.Second), "a", true)
-	is.Equal(p.Ejected(), 0)
+	p.ProbeDone(t0.Add(3*time.Second), "a", true)
+	is.Equal(p.EjectedCount(), 0)
 	n := share(p, t0.Add(3*time.Second), 40)
 	is.True(n["a"] < n["b"]/4) // slow start
 	n = share(p, t0.Add(13*time.Second), 40)
@@ -198,7 +198,7 @@
 
 func TestAllHostsExcluded(t *testing.T) {
 	is := is.New(t)
-	p := testPool(Host{ID: "a", Zone: "z0"})
+	p := testPool(BackendServer{ID: "a", Zone: "z0"})
 	_, ok := p.Pick(t0, 0, []string{"a"})
 	is.True(!ok)
 }
@@ -222,13 +222,13 @@
 				if len(fifo) < capacity {
 					fifo = append(fifo, uint32(service))
 				}
-				if s.Push(uint32(service), 1, sent[service]) {
+				if s.Enqueue(uint32(service), 1, sent[service]) {
 					sent[service]++
 				}
 			}
 		}
 		for range 6 { // the processor handles six packets a round
-			if item, service, ok := s.Pop(); ok {
+			if item, service, ok := s.Dequeue(); ok {
 				is.Equal(item, next[service]) // in order
 				next[service]++
 				got[service]++
@@ -238,11 +238,11 @@
 		}
 	}
 	for service := 1; service < 4; service++ {
-		is.Equal(s.Dropped(uint32(service)), uint64(0))
+		is.Equal(s.DropCount(uint32(service)), uint64(0))
 		is.True(got[service] >= rounds*98/100)
 		is.True(naive[service] < rounds/2)
 	}
-	is.True(s.Dropped(0) > 0)
+	is.True(s.DropCount(0) > 0)
 	is.Equal(got[0]+got[1]+got[2]+got[3], 6*rounds)
 }
 
@@ -251,11 +251,11 @@
 	s := NewScheduler[int](4096, 1500)
 	got := [2]int{}
 	for i := range 1000 {
-		s.Push(0, 100, i)
-		s.Push(1, 1500, i)
+		s.Enqueue(0, 100, i)
+		s.Enqueue(1, 1500, i)
 	}
 	for range 480 {
-		_, service, _ := s.Pop()
+		_, service, _ := s.Dequeue()
 		got[service] += 100 + 1400*int(service)
 	}
 	is.Equal(got[0], got[1])
@@ -266,10 +266,10 @@
 	buf := make([]byte, 1200)
 	step := func() {
 		for service := range uint32(8) {
-			s.Push(service, len(buf), buf)
+			s.Enqueue(service, len(buf), buf)
 		}
 		for range 8 {
-			s.Pop()
+			s.Dequeue()
 		}
 	}
 	step()
@@ -282,8 +282,8 @@
 			s := NewScheduler[int](8192, 1500)
 			b.ReportAllocs()
 			for i := range b.N {
-				s.Push(uint32(i)%services, 1200, i)
-				s.Pop()
+				s.Enqueue(uint32(i)%services, 1200, i)
+				s.Dequeue()
 			}
 		})
 	}
@@ -299,15 +299,15 @@
 }
 
 func BenchmarkPick(b *testing.B) {
-	var hosts []Host
+	var hosts []BackendServer
 	for i := range 7 {
-		hosts = append(hosts, Host{ID: fmt.Sprint("h", i), Zone: fmt.Sprint("z", i%4)})
+		hosts = append(hosts, BackendServer{ID: fmt.Sprint("h", i), Zone: fmt.Sprint("z", i%4)})
 	}
 	p := testPool(hosts...)
 	rng := rand.New(rand.NewPCG(1, 1))
 	b.ReportAllocs()
 	for range b.N {
 		id, _ := p.Pick(t0, rng.Uint64(), nil)
-		p.Done(t0, id, Answered, time.Millisecond)
+		p.Done(t0, id, Completed, time.Millisecond)
 	}
 }
--- a/core/admission/example_test.go
+++ b/core/admission/example_test.go
@@ -16,8 +16,8 @@
 		{Name: "urgent", Share: 1, MaxWait: time.Second, MaxQueue: 10},
 	})
 	arrive := func(id uint64, class int) {
-		ds := l.Arrive(now, admission.Request{ID: id, Class: class, Deadline: now.Add(time.Minute)})
-		fmt.Println(id, ds[len(ds)-1].Verdict == admission.Start)
+		ds := l.Acquire(now, admission.Request{ID: id, Class: class, Deadline: now.Add(time.Minute)})
+		fmt.Println(id, ds[len(ds)-1].Verdict == admission.Admit)
 	}
 	arrive(1, 0)
 	arrive(2, 0) // borrows the idle slot of the urgent class
--- a/core/admission/flood_sim_test.go
+++ b/core/admission/flood_sim_test.go
@@ -217,7 +217,7 @@
 	for _, c := range f.d.classes {
 		all = append(all, Class{Name: c.name, Share: c.share, MaxWait: 100 * time.Millisecond, MaxQueue: 64})
 	}
-	members := make([][]Host, len(f.d.hosts))
+	members := make([][]BackendServer, len(f.d.hosts))
 	for s, n := range f.d.hosts {
 		own := slices.Clone(all)
 		for i := range own {
@@ -229,15 +229,15 @@
 		var hosts []floodHost
 		for i := range n {
 			hosts = append(hosts, floodHost{id: fmt.Sprint(i), zone: zone(i), limiter: NewLimiter(hostSlots, own)})
-			members[s] = append(members[s], Host{ID: fmt.Sprint(i), Zone: zone(i), Slots: hostSlots, Weight: 1})
+			members[s] = append(members[s], BackendServer{ID: fmt.Sprint(i), Zone: zone(i), Slots: hostSlots, Weight: 1})
 		}
 		f.hosts = append(f.hosts, hosts)
 	}
 	for g := range gateways {
 		gw := floodGateway{zone: zone(g), scheduler: NewScheduler[int32](4096, 1), limiter: NewLimiter(gatewaySlots, all)}
 		for s := range f.d.hosts {
-			p := NewPool(PoolOptions{Zone: zone(g), Link: 2 * (farLink - nearLink), HalfLife: time.Second, EjectAfter: 5, EjectFor: time.Second, MaxEjected: 0.5})
-			p.SetHosts(members[s])
+			p := NewPool(PoolOptions{Zone: zone(g), CrossZoneCost: 2 * (farLink - nearLink), ReportHalfLife: time.Second, EjectAfterFailures: 5, BaseEjectionTime: time.Second, MaxEjectedFraction: 0.5})
+			p.SetBackendServers(members[s])
 			gw.pools = append(gw.pools, p)
 			gw.budgets = append(gw.budgets, attempt.NewBudget(retryRatio, 10))
 		}
@@ -303,7 +303,7 @@
 	g := &f.gateways[r.gateway]
 	if f.naive {
 		g.fifo = append(g.fifo, req)
-	} else if !g.scheduler.Push(uint32(r.class), 1, req) {
+	} else if !g.scheduler.Enqueue(uint32(r.class), 1, req) {
 		r.done = true
 		return
 	}
@@ -324,7 +324,7 @@
 		g.fifo = g.fifo[1:]
 	} else {
 		var ok bool
-		if req, _, ok = g.scheduler.Pop(); !ok {
+		if req, _, ok = g.scheduler.Dequeue(); !ok {
 			return
 		}
 	}
@@ -339,7 +339,7 @@
 		return
 	}
 	g := &f.gateways[r.gateway]
-	f.decide(g.limiter.Arrive(epoch(f.now), Request{
+	f.decide(g.limiter.Acquire(epoch(f.now), Request{
 		ID: uint64(req), Class: int(r.class), Deadline: epoch(r.born + floodDeadline),
 	}), f.first)
 }
@@ -347,7 +347,7 @@
 // decide acts on decisions: what starts goes on by start.
 func (f *floodRun) decide(ds []Decision, start func(int32)) {
 	for _, d := range slices.Clone(ds) {
-		if d.Verdict == Start {
+		if d.Verdict == Admit {
 			start(int32(d.ID))
 		}
 	}
@@ -403,7 +403,7 @@
 		f.serveNaive(h)
 		return
 	}
-	ds := h.limiter.Arrive(epoch(f.now), Request{
+	ds := h.limiter.Acquire(epoch(f.now), Request{
 		ID: uint64(e.req), Class: int(r.class), Deadline: epoch(r.born + floodDeadline - clientLink - f.link(r)),
 	})
 	f.atHost(ds)
@@ -414,11 +414,11 @@
 	for _, d := range ds {
 		req := int32(d.ID)
 		switch d.Verdict {
-		case Start:
+		case Admit:
 			f.at(f.serviceTime(req), evServed, req)
 		case Shed:
 			f.at(f.link(&f.requests[req]), evRefused, req)
-		case Wait:
+		case Queue:
 		}
 	}
 }
@@ -464,7 +464,7 @@
 		c.latencies = append(c.latencies, latency)
 	}
 	if !f.naive {
-		f.pool(r).Done(epoch(f.now), f.host(r).id, Answered, f.now-r.sent)
+		f.pool(r).Done(epoch(f.now), f.host(r).id, Completed, f.now-r.sent)
 		f.leave(e.req)
 	}
 	r.done = true
@@ -477,7 +477,7 @@
 func (f *floodRun) refused(req int32) {
 	r := &f.requests[req]
 	g := &f.gateways[r.gateway]
-	f.pool(r).Done(epoch(f.now), f.host(r).id, Refused, 0)
+	f.pool(r).Done(epoch(f.now), f.host(r).id, Rejected, 0)
 	if r.tries < 3 && f.now < r.born+floodDeadline && g.budgets[f.d.classes[r.class].service].Withdraw() {
 		f.send(req)
 		return
--- a/core/admission/pool.go
+++ b/core/admission/pool.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Host is one backend server of a service as the view has it.
-type Host struct {
+// BackendServer is one backend server of a service as the view has it.
+type BackendServer struct {
 	ID string
 	// Zone is the availability zone.
 	Zone string
@@ -21,35 +21,35 @@
 type PoolOptions struct {
 	// Zone is the availability zone of this process.
 	Zone string
-	// Link is the cost of leaving the zone, as time added to a request.
-	Link time.Duration
-	// HalfLife is the time in which a report loses half of its weight.
-	HalfLife time.Duration
-	// EjectAfter is the number of failures in a row that eject a host.
-	EjectAfter int
-	// EjectFor is the time until an ejected host is probed; it doubles with
+	// CrossZoneCost is the cost of leaving the zone, as time added to a request.
+	CrossZoneCost time.Duration
+	// ReportHalfLife is the time in which a report loses half of its weight.
+	ReportHalfLife time.Duration
+	// EjectAfterFailures is the number of failures in a row that eject a host.
+	EjectAfterFailures int
+	// BaseEjectionTime is the time until an ejected host is probed; it doubles with
 	// every probe that fails.
-	EjectFor time.Duration
-	// MaxEjected is the greatest part of the hosts that is ejected.
-	MaxEjected float64
-	// SlowStart is the time in which a host that returns comes to its full
+	BaseEjectionTime time.Duration
+	// MaxEjectedFraction is the greatest part of the hosts that is ejected.
+	MaxEjectedFraction float64
+	// SlowStartDuration is the time in which a host that returns comes to its full
 	// weight.
-	SlowStart time.Duration
+	SlowStartDuration time.Duration
 }
 
-// Ending says how a request to a host ended.
-type Ending uint8
+// Outcome says how a request to a host ended.
+type Outcome uint8
 
 // The endings that a Pool learns from.
 const (
-	Answered  Ending = iota
-	Refused          // shed: the host works but is full
-	Failed           // no answer, or a broken one
-	Abandoned        // ended from this side; says nothing about the host
+	Completed Outcome = iota
+	Rejected          // shed: the host works but is full
+	Failed            // no answer, or a broken one
+	Canceled          // ended from this side; says nothing about the host
 )
 
 type host struct {
-	Host
+	BackendServer
 	inFlight int
 	latency  time.Duration
 	// others is the load of other gateways at the time of the last report.
@@ -86,15 +86,15 @@
 // NewPool returns an empty pool.
 func NewPool(o PoolOptions) *Pool { return &Pool{o: o} }
 
-// SetHosts replaces the hosts. What is known of hosts that stay is kept.
-func (p *Pool) SetHosts(hosts []Host) {
+// SetBackendServers replaces the hosts. What is known of hosts that stay is kept.
+func (p *Pool) SetBackendServers(hosts []BackendServer) {
 	next := make([]host, len(hosts))
 	for i, h := range hosts {
 		next[i] = host{latency: firstLatency, health: 1}
 		if old := p.find(h.ID); old != nil {
 			next[i] = *old
 		}
-		next[i].Host = h
+		next[i].BackendServer = h
 	}
 	p.hosts = next
 }
@@ -162,17 +162,17 @@
 // cost is the expected time of one more request at h.
 func (p *Pool) cost(now time.Time, h *host) float64 {
 	age := now.Sub(h.reported)
-	load := float64(h.inFlight) + h.others*math.Exp2(-float64(age)/float64(p.o.HalfLife))
-	capacity := float64(h.Slots) * h.Weight * h.health * h.ramp.At(now)
+	load := float64(h.inFlight) + h.others*math.Exp2(-float64(age)/float64(p.o.ReportHalfLife))
+	capacity := float64(h.Slots) * h.Weight * h.health * h.ramp.FractionAt(now)
 	cost := (load + 1) * float64(h.latency) / capacity
 	if h.Zone != p.o.Zone {
-		cost += float64(p.o.Link)
+		cost += float64(p.o.CrossZoneCost)
 	}
 	return cost
 }
 
-// Report takes the load that a host says it has.
-func (p *Pool) Report(now time.Time, id string, load int) {
+// ReportLoad takes the load that a host says it has.
+func (p *Pool) ReportLoad(now time.Time, id string, load int) {
 	if h := p.find(id); h != nil {
 		h.others = float64(max(0, load-h.inFlight))
 		h.reported = now
@@ -181,29 +181,29 @@
 
 // Done ends a request that was sent to a host. Latency counts if it was
 // answered.
-func (p *Pool) Done(now time.Time, id string, end Ending, latency time.Duration) {
+func (p *Pool) Done(now time.Time, id string, end Outcome, latency time.Duration) {
 	h := p.find(id)
 	if h == nil {
 		return
 	}
 	h.inFlight = max(0, h.inFlight-1)
 	switch end {
-	case Answered:
+	case Completed:
 		h.failures = 0
 		h.health = min(1, h.health+answerRecovery)
 		h.latency += (latency - h.latency) / smoothing
-	case Refused:
+	case Rejected:
 		h.failures = 0
 		h.health = max(minHealth, h.health*refusalFactor)
 	case Failed:
 		h.failures++
 		p.eject(now, h)
-	case Abandoned:
+	case Canceled:
 	}
 }
 
 func (p *Pool) eject(now time.Time, h *host) {
-	if h.ejected || h.failures < p.o.EjectAfter {
+	if h.ejected || h.failures < p.o.EjectAfterFailures {
 		return
 	}
 	ejected := 1
@@ -212,17 +212,17 @@
 			ejected++
 		}
 	}
-	if float64(ejected) > p.o.MaxEjected*float64(len(p.hosts)) {
+	if float64(ejected) > p.o.MaxEjectedFraction*float64(len(p.hosts)) {
 		return
 	}
 	h.ejected = true
-	h.backoff = p.o.EjectFor
+	h.backoff = p.o.BaseEjectionTime
 	h.probeAt = now.Add(h.backoff)
 }
 
-// DueProbe returns an ejected host that is to be probed now. The probe must be
+// NextProbe returns an ejected host that is to be probed now. The probe must be
 // ended by Probed.
-func (p *Pool) DueProbe(now time.Time) (string, bool) {
+func (p *Pool) NextProbe(now time.Time) (string, bool) {
 	for i := range p.hosts {
 		h := &p.hosts[i]
 		if h.ejected && !h.probing && !now.Before(h.probeAt) {
@@ -233,26 +233,26 @@
 	return "", false
 }
 
-// Probed reports the result of a probe. A host that answers comes back by slow
+// ProbeDone reports the result of a probe. A host that answers comes back by slow
 // start.
-func (p *Pool) Probed(now time.Time, id string, ok bool) {
+func (p *Pool) ProbeDone(now time.Time, id string, ok bool) {
 	h := p.find(id)
 	if h == nil || !h.probing {
 		return
 	}
 	h.probing = false
 	if !ok {
-		h.backoff = min(2*h.backoff, maxBackoff*p.o.EjectFor)
+		h.backoff = min(2*h.backoff, maxBackoff*p.o.BaseEjectionTime)
 		h.probeAt = now.Add(h.backoff)
 		return
 	}
 	h.ejected = false
 	h.failures = 0
-	h.ramp = Ramp{Start: now, Duration: p.o.SlowStart, First: rampFirst}
+	h.ramp = Ramp{Start: now, Duration: p.o.SlowStartDuration, InitialFraction: rampFirst}
 }
 
-// Ejected returns the number of hosts that are ejected.
-func (p *Pool) Ejected() int {
+// EjectedCount returns the number of hosts that are ejected.
+func (p *Pool) EjectedCount() int {
 	n := 0
 	for i := range p.hosts {
 		if p.hosts[i].ejected {
--- a/core/admission/scheduler.go
+++ b/core/admission/scheduler.go
@@ -58,17 +58,17 @@
 // Len returns the number of packets held.
 func (s *Scheduler[T]) Len() int { return s.length }
 
-// Dropped returns the number of packets of a service that were refused.
-func (s *Scheduler[T]) Dropped(service uint32) uint64 {
+// DropCount returns the number of packets of a service that were refused.
+func (s *Scheduler[T]) DropCount(service uint32) uint64 {
 	if i, ok := s.index[service]; ok {
 		return s.queues[i].dropped
 	}
 	return 0
 }
 
-// Push adds a packet. It reports false if the service's queue may
+// Enqueue adds a packet. It reports false if the service's queue may
 // not grow.
-func (s *Scheduler[T]) Push(service uint32, cost int, item T) bool {
+func (s *Scheduler[T]) Enqueue(service uint32, cost int, item T) bool {
 	i := s.queue(service)
 	q := &s.queues[i]
 	if q.length >= s.nfree {
@@ -115,8 +115,8 @@
 	s.active = i
 }
 
-// Pop returns the next packet and its service.
-func (s *Scheduler[T]) Pop() (item T, service uint32, ok bool) {
+// Dequeue returns the next packet and its service.
+func (s *Scheduler[T]) Dequeue() (item T, service uint32, ok bool) {
 	for s.active != none {
 		i := s.queues[s.active].next
 		q := &s.queues[i]
--- a/internal/gateway/agent.go
+++ b/internal/gateway/agent.go
@@ -117,14 +117,14 @@
 			MaxBytes:    maxAnswers,
 		}),
 	}
-	a.gate = newGate(o.Now, a.ramp().Slots(a.started, o.Slots), o.Policy.admissionClasses(fleet.Whole, "", agentQueue))
+	a.gate = newGate(o.Now, a.ramp().SlotsAt(a.started, o.Slots), o.Policy.admissionClasses(fleet.Whole, "", agentQueue))
 	a.claims = newClaims(ctx, o, &a.tasks)
 	a.tasks.Go(func() { a.tick(ctx) })
 	return a
 }
 
 func (a *Agent) ramp() admission.Ramp {
-	return admission.Ramp{Start: a.started, Duration: a.o.SlowStart, First: firstSlots}
+	return admission.Ramp{Start: a.started, Duration: a.o.SlowStart, InitialFraction: firstSlots}
 }
 
 // Close ends every request and what runs in the background. Call it before
@@ -150,7 +150,7 @@
 		return
 	}
 	a.policy = p
-	a.gate = newGate(a.o.Now, a.ramp().Slots(a.o.Now(), a.o.Slots), p.admissionClasses(fleet.Whole, "", agentQueue))
+	a.gate = newGate(a.o.Now, a.ramp().SlotsAt(a.o.Now(), a.o.Slots), p.admissionClasses(fleet.Whole, "", agentQueue))
 }
 
 // admission returns the gate in force and the class of an urgency in it.
@@ -228,7 +228,7 @@
 func (a *Agent) tick(ctx context.Context) {
 	pace.Every(ctx, tickInterval, func() {
 		g, _ := a.admission(0)
-		g.setSlots(a.ramp().Slots(a.o.Now(), a.o.Slots))
+		g.setSlots(a.ramp().SlotsAt(a.o.Now(), a.o.Slots))
 		g.tick()
 		a.claims.tick()
 	})
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -143,7 +143,7 @@
 		defer cancel()
 		class := e.s.firstClass + e.s.Policy.class(e.urgency)
 		leave, d := e.g.currentGate().enter(ctx, class, e.deadline)
-		if d.Verdict != admission.Start {
+		if d.Verdict != admission.Admit {
 			e.step(event{in: attempt.Unroutable{Reason: attempt.ReasonOverload, RetryAfter: max(d.RetryAfter, time.Second)}})
 			return
 		}
--- a/internal/gateway/gate.go
+++ b/internal/gateway/gate.go
@@ -26,17 +26,17 @@
 	}
 }
 
-// enter asks for a slot and waits for the decision. With Start, leave must be
+// enter asks for a slot and waits for the decision. With Admit, leave must be
 // called. If ctx ends first the request is withdrawn and shed.
 func (g *gate) enter(ctx context.Context, class int, deadline time.Time) (leave func(), d admission.Decision) {
 	g.mu.Lock()
 	g.lastID++
 	id := g.lastID
-	ds := g.limiter.Arrive(g.now(), admission.Request{ID: id, Class: class, Deadline: deadline})
+	ds := g.limiter.Acquire(g.now(), admission.Request{ID: id, Class: class, Deadline: deadline})
 	d = ds[len(ds)-1]
 	g.wake(ds[:len(ds)-1])
 	var decided chan admission.Decision
-	if d.Verdict == admission.Wait {
+	if d.Verdict == admission.Queue {
 		decided = make(chan admission.Decision, 1)
 		g.waiting[id] = decided
 	}
@@ -44,7 +44,7 @@
 	if decided != nil {
 		d = g.await(ctx, id, decided)
 	}
-	if d.Verdict != admission.Start {
+	if d.Verdict != admission.Admit {
 		return nil, d
 	}
 	return func() { g.release(id) }, d
@@ -65,7 +65,7 @@
 		return admission.Decision{ID: id, Verdict: admission.Shed}
 	}
 	d := <-decided
-	if d.Verdict == admission.Start {
+	if d.Verdict == admission.Admit {
 		g.release(id)
 	}
 	return admission.Decision{ID: id, Verdict: admission.Shed}
@@ -91,7 +91,7 @@
 func (g *gate) tick() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.wake(g.limiter.Tick(g.now()))
+	g.wake(g.limiter.ShedExpired(g.now()))
 }
 
 // load returns the number of requests that run or wait.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -182,13 +182,13 @@
 
 func (g *Gateway) newHosts(p Policy) *admission.Pool {
 	return admission.NewPool(admission.PoolOptions{
-		Zone:       g.o.Zone,
-		Link:       linkCost,
-		HalfLife:   reportHalfLife,
-		EjectAfter: ejectAfter,
-		EjectFor:   ejectFor,
-		MaxEjected: p.MaxEjected,
-		SlowStart:  slowStart,
+		Zone:               g.o.Zone,
+		CrossZoneCost:      linkCost,
+		ReportHalfLife:     reportHalfLife,
+		EjectAfterFailures: ejectAfter,
+		BaseEjectionTime:   ejectFor,
+		MaxEjectedFraction: p.MaxEjected,
+		SlowStartDuration:  slowStart,
 	})
 }
 
@@ -204,16 +204,16 @@
 		return
 	}
 	s.view = v
-	hosts := make([]admission.Host, 0, len(v.Members))
+	hosts := make([]admission.BackendServer, 0, len(v.Members))
 	for i := range v.Members {
 		m := &v.Members[i]
 		weight := 0.0
 		if m.TakesNew() {
 			weight = float64(m.Weight) / view.FullWeight
 		}
-		hosts = append(hosts, admission.Host{ID: m.ID, Zone: m.Zone, Slots: max(1, int(m.Slots)), Weight: weight})
+		hosts = append(hosts, admission.BackendServer{ID: m.ID, Zone: m.Zone, Slots: max(1, int(m.Slots)), Weight: weight})
 	}
-	s.hosts.SetHosts(hosts)
+	s.hosts.SetBackendServers(hosts)
 }
 
 func (g *Gateway) service(id view.ServiceID) *service {
@@ -249,7 +249,7 @@
 func (g *Gateway) probe(ctx context.Context, s *service) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	id, due := s.hosts.DueProbe(g.o.Now())
+	id, due := s.hosts.NextProbe(g.o.Now())
 	if !due {
 		return
 	}
@@ -258,7 +258,7 @@
 		reply, err := call[probeReply](ctx, g.o.Pool, addr, KindProbe, probeRequest{}, probeTimeout)
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.hosts.Probed(g.o.Now(), id, err == nil && reply.Healthy)
+		s.hosts.ProbeDone(g.o.Now(), id, err == nil && reply.Healthy)
 	})
 }
 
@@ -306,7 +306,7 @@
 	return s.address(home.Server), ok
 }
 
-func (s *service) done(now time.Time, id string, end admission.Ending, latency time.Duration) {
+func (s *service) done(now time.Time, id string, end admission.Outcome, latency time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.hosts.Done(now, id, end, latency)
@@ -315,7 +315,7 @@
 func (s *service) report(now time.Time, id string, load int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.hosts.Report(now, id, load)
+	s.hosts.ReportLoad(now, id, load)
 }
 
 // Withdraw takes a token of the service's retry budget.
--- a/internal/gateway/outgoing.go
+++ b/internal/gateway/outgoing.go
@@ -24,7 +24,7 @@
 	started time.Time
 	// counted is set for sends, whose end the service's hosts are told.
 	counted bool
-	ending  admission.Ending
+	ending  admission.Outcome
 }
 
 const chunkSize = 32 << 10 // bytes
@@ -33,7 +33,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	o := &outgoing{
 		e: e, num: num, id: id, target: target, pass: make(chan struct{}), cancel: cancel,
-		started: e.g.o.Now(), ending: admission.Abandoned,
+		started: e.g.o.Now(), ending: admission.Canceled,
 	}
 	e.streams[num] = o
 	return o, ctx
@@ -104,9 +104,9 @@
 }
 
 // ending is how a stream that broke ended: from this side if ctx has ended.
-func ending(ctx context.Context) admission.Ending {
+func ending(ctx context.Context) admission.Outcome {
 	if ctx.Err() != nil {
-		return admission.Abandoned
+		return admission.Canceled
 	}
 	return admission.Failed
 }
@@ -127,7 +127,7 @@
 		o.e.s.report(o.e.g.o.Now(), o.target.Server, head.Load)
 	}
 	if head.Refused {
-		o.ending = admission.Refused
+		o.ending = admission.Rejected
 		o.post(attempt.Refused{Stream: o.num, State: head.State, RetryAfter: head.RetryAfter})
 		return
 	}
@@ -159,7 +159,7 @@
 		}
 		switch {
 		case errors.Is(err, io.EOF):
-			o.ending = admission.Answered
+			o.ending = admission.Completed
 			o.post(attempt.End{Stream: o.num, Total: total})
 			return
 		case err != nil:
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -43,7 +43,7 @@
 	defer stop()
 	g, class := r.a.admission(r.open.Urgency)
 	leave, d := g.enter(queued, class, r.deadline)
-	if d.Verdict != admission.Start {
+	if d.Verdict != admission.Admit {
 		r.a.stats.shed.Add(1)
 		r.fence(d.RetryAfter)
 		return
--- a/tools/capacity/measure_control.go
+++ b/tools/capacity/measure_control.go
@@ -182,11 +182,11 @@
 		})
 		now := time.Unix(0, 0)
 		for i := range slots - 1 {
-			l.Arrive(now, admission.Request{ID: uint64(i + 1), Class: i % 2})
+			l.Acquire(now, admission.Request{ID: uint64(i + 1), Class: i % 2})
 		}
 		s.Points = append(s.Points, Point{float64(slots), nsPerOp(func(i int) {
 			id := uint64(slots + i)
-			l.Arrive(now, admission.Request{ID: id, Class: i % 2})
+			l.Acquire(now, admission.Request{ID: id, Class: i % 2})
 			l.Release(now, id)
 		})})
 	}
