--- a/core/attempt/claim_test.go
+++ b/core/attempt/claim_test.go
@@ -239,7 +239,7 @@
 	c.claim(home, ClaimRequest{Key: "k", Holder: holder(1)})
 	c.boot(home, 2)
 	c.view = testView(2, 4, nil)
-	c.view.Members[c.view.Find(home)].Incarnation = 2
+	c.view.Members[c.view.IndexOf(home)].Incarnation = 2
 	for _, h := range c.claims {
 		h.SetView(c.now, c.view)
 	}
--- a/core/attempt/holders.go
+++ b/core/attempt/holders.go
@@ -56,7 +56,7 @@
 	if !ok {
 		return pair{}, false
 	}
-	zone := h.view.Members[h.view.Find(home.Server)].Zone
+	zone := h.view.Members[h.view.IndexOf(home.Server)].Zone
 	second, ok := pick(key, h.others[zone])
 	if !ok {
 		rest := subset(h.view, func(b *view.BackendServer) bool { return b.ID != home.Server })
--- a/core/flow/agent.go
+++ b/core/flow/agent.go
@@ -118,7 +118,7 @@
 func (a *Agent) SetView(now time.Duration, v *view.View) bool {
 	a.adopt.Lock()
 	defer a.adopt.Unlock()
-	next := &adopted{view: v, at: now, self: v.FindSeed(a.options.Self.Seed)}
+	next := &adopted{view: v, at: now, self: v.IndexOfSeed(a.options.Self.Seed)}
 	if c := a.current.Load(); c != nil {
 		if !v.Version.Newer(c.view.Version) {
 			return false
@@ -249,8 +249,8 @@
 // Heard notes a sign of life of an agent, such as an acknowledgement.
 func (a *Agent) Heard(p Peer) { a.peers.heard(p.Seed) }
 
-// Owned calls f with every owned flow until f returns false.
-func (a *Agent) Owned(f func(ID) bool) {
+// ForEachOwned calls f with every owned flow until f returns false.
+func (a *Agent) ForEachOwned(f func(ID) bool) {
 	for i := range a.shards {
 		for _, id := range a.shards[i].owned() {
 			if !f(id) {
--- a/core/flow/balance.go
+++ b/core/flow/balance.go
@@ -23,7 +23,7 @@
 // new flows as it has too many on agents below theirs, until the next report.
 func (a *Agent) SetLoads(loads []view.Load) {
 	c := a.current.Load()
-	if c == nil || c.self < 0 || c.view.Resting() {
+	if c == nil || c.self < 0 || c.view.IsDrainOnly() {
 		return
 	}
 	flows := make(map[uint64]float64, len(loads))
--- a/core/flow/balancer.go
+++ b/core/flow/balancer.go
@@ -155,7 +155,7 @@
 	}
 	for i := range v.Earlier {
 		if old == nil || v.Earlier[i].Version != old.current.view.Version {
-			n.earlier = append(n.earlier, newPicker(v, v.PastTargets(i)))
+			n.earlier = append(n.earlier, newPicker(v, v.EarlierTargets(i)))
 		}
 	}
 	return n
@@ -228,7 +228,7 @@
 		if stays {
 			continue
 		}
-		i = placement.PickStaying(key, e.view, e.targets)
+		i = placement.PickStable(key, e.view, e.targets)
 		if i == placement.None {
 			continue
 		}
@@ -245,12 +245,12 @@
 	current := v.current.view
 	j := i
 	if current != old {
-		j = current.FindSeed(old.Seed(i))
+		j = current.IndexOfSeed(old.Seed(i))
 	}
 	if j < 0 {
 		return PeerOf(old, i), false
 	}
-	return PeerOf(current, j), current.Members[j].Stays()
+	return PeerOf(current, j), current.Members[j].IsStable()
 }
 
 // Drops returns the number of packets not forwarded, by reason.
--- a/core/flow/interleave_test.go
+++ b/core/flow/interleave_test.go
@@ -37,7 +37,7 @@
 // alone, and carries the weights of all before it.
 func chain(picks ...int) []*view.View {
 	views := make([]*view.View, len(picks))
-	var earlier []view.Past
+	var earlier []view.EarlierWeights
 	for i, pick := range picks {
 		weights := make([]uint32, 3)
 		weights[pick] = view.FullWeight
@@ -45,7 +45,7 @@
 		views[i] = view.New(1, view.Version{Epoch: 1, Number: uint64(i + 1)}, members)
 		views[i].Earlier = earlier
 		views[i].Prepare()
-		earlier = append([]view.Past{{Version: views[i].Version, Weights: weights}}, earlier...)
+		earlier = append([]view.EarlierWeights{{Version: views[i].Version, Weights: weights}}, earlier...)
 	}
 	return views
 }
--- a/core/flow/search.go
+++ b/core/flow/search.go
@@ -45,7 +45,7 @@
 	if !r.packet.Informed && (current == nil || r.packet.Ballot.Version.Newer(current.view.Version)) {
 		return r.agent.refuse(NoView)
 	}
-	if current != nil && current.view.Resting() && !r.packet.Ballot.Version.Newer(current.view.Version) {
+	if current != nil && current.view.IsDrainOnly() && !r.packet.Ballot.Version.Newer(current.view.Version) {
 		return r.agent.refuse(NoTarget)
 	}
 	if other, ok := r.divert(current); ok {
@@ -113,7 +113,7 @@
 	if c == nil {
 		return true
 	}
-	i := c.view.FindSeed(p.Seed)
+	i := c.view.IndexOfSeed(p.Seed)
 	return i >= 0 && c.view.Members[i].State != view.Gone
 }
 
@@ -145,7 +145,7 @@
 		return Peer{}, false
 	}
 	for i := range current.view.Earlier {
-		first, next := earlierPicks(r.id.Key, current.view, current.view.PastTargets(i))
+		first, next := earlierPicks(r.id.Key, current.view, current.view.EarlierTargets(i))
 		for _, m := range [...]int{first, next} {
 			if m == placement.None {
 				continue
@@ -169,10 +169,10 @@
 // pointers in its stead; None where there is none.
 func earlierPicks(key uint64, v *view.View, targets []view.Target) (first, next int) {
 	first = placement.PickTarget(key, targets)
-	if first == placement.None || v.Members[first].Stays() {
+	if first == placement.None || v.Members[first].IsStable() {
 		return first, placement.None
 	}
-	return first, placement.PickStaying(key, v, targets)
+	return first, placement.PickStable(key, v, targets)
 }
 
 func (r *request) askable(p Peer) bool {
@@ -328,7 +328,7 @@
 		return p, true
 	}
 	for i := range current.view.Earlier {
-		first, next := earlierPicks(r.id.Key, current.view, current.view.PastTargets(i))
+		first, next := earlierPicks(r.id.Key, current.view, current.view.EarlierTargets(i))
 		for _, m := range [...]int{first, next} {
 			if m == placement.None || current.view.Seed(m) == r.agent.options.Self.Seed {
 				continue
--- a/core/lease/example_test.go
+++ b/core/lease/example_test.go
@@ -13,7 +13,7 @@
 	registry := lease.NewRegistry(lease.Options{})
 	registry.Lead(0, 1, nil)
 	err := registry.Announce(0, 1, view.Announcement{
-		ID: "a", Incarnation: 1, Sequence: 1, Healthy: true, Holds: view.Version{Epoch: 1, Number: 1},
+		ID: "a", Incarnation: 1, Sequence: 1, Healthy: true, AdoptedVersion: view.Version{Epoch: 1, Number: 1},
 		Packets: netip.MustParseAddrPort("192.0.2.10:7000"),
 	})
 	if err != nil {
--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -60,14 +60,14 @@
 func (f *fleet) announce(a *view.Announcement) error {
 	a.Sequence++
 	if f.newest != nil {
-		a.Holds = f.newest.Version
+		a.AdoptedVersion = f.newest.Version
 	}
 	return f.r.Announce(f.now, 1, *a)
 }
 
 func (f *fleet) restart(i int) {
 	f.agents[i].Incarnation++
-	f.agents[i].Sequence, f.agents[i].Holds = 0, view.Version{}
+	f.agents[i].Sequence, f.agents[i].AdoptedVersion = 0, view.Version{}
 }
 
 // states renders the newest view, such as "ready:100/gone:0".
@@ -264,7 +264,7 @@
 			}
 			f.run(time.Duration(rng.IntN(2000)) * time.Millisecond)
 			is.True(len(f.newest.Targets()) > 0)
-			is.True(!f.newest.Resting())
+			is.True(!f.newest.IsDrainOnly())
 			for _, past := range f.newest.Earlier {
 				is.Equal(len(past.Weights), len(f.newest.Members))
 			}
@@ -358,7 +358,7 @@
 	agents := make([]*view.Announcement, hosts)
 	for i := range agents {
 		agents[i] = announcement(i)
-		agents[i].Holds = view.Version{Epoch: 1}
+		agents[i].AdoptedVersion = view.Version{Epoch: 1}
 		agents[i].Packets = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(i >> 16), byte(i >> 8), byte(i)}), 7000)
 	}
 	announce := func(now time.Duration, i int) {
--- a/core/lease/publish.go
+++ b/core/lease/publish.go
@@ -225,10 +225,10 @@
 }
 
 // earlier returns the history as weights of the members with the given IDs.
-func (s *service) earlier(ids []string) []view.Past {
-	past := make([]view.Past, len(s.history))
+func (s *service) earlier(ids []string) []view.EarlierWeights {
+	past := make([]view.EarlierWeights, len(s.history))
 	for i, p := range s.history {
-		past[i] = view.Past{Version: p.version, Weights: make([]uint32, len(ids))}
+		past[i] = view.EarlierWeights{Version: p.version, Weights: make([]uint32, len(ids))}
 		for j, id := range ids {
 			past[i].Weights[j] = p.weights[id]
 		}
--- a/core/lease/registry.go
+++ b/core/lease/registry.go
@@ -141,7 +141,7 @@
 	case m.announcement.Incarnation != a.Incarnation:
 		r.restarted(now, m, &a)
 	}
-	if m.phase == view.Joining && a.Authoritative {
+	if m.phase == view.Joining && a.BackendTracksFlows {
 		m.phase = view.Warming
 	}
 	r.renew(now, m, a)
@@ -159,7 +159,7 @@
 
 func (r *Registry) join(now time.Duration, id view.ServiceID, a view.Announcement) *member {
 	m := &member{id: a.ID, service: id, phase: view.Joining, since: now, drained: r.drained[a.ID]}
-	if r.collecting(now) && a.Holds != (view.Version{}) {
+	if r.collecting(now) && a.AdoptedVersion != (view.Version{}) {
 		m.phase = view.Ready // a member of the earlier epoch
 	}
 	r.members[a.ID] = m
@@ -183,7 +183,7 @@
 func (r *Registry) restarted(now time.Duration, m *member, a *view.Announcement) {
 	m.flapped(now, r.options.FlapWindow)
 	m.phase, m.since, m.joinedAt = view.Joining, now, view.Version{}
-	if r.collecting(now) && a.Holds != (view.Version{}) {
+	if r.collecting(now) && a.AdoptedVersion != (view.Version{}) {
 		m.phase = view.Ready
 	}
 }
@@ -199,7 +199,7 @@
 		m.phase, m.since = view.Ready, now
 		s.dirty = true
 	}
-	if m.phase == view.Joining && m.joinedAt != (view.Version{}) && !m.joinedAt.Newer(a.Holds) {
+	if m.phase == view.Joining && m.joinedAt != (view.Version{}) && !m.joinedAt.Newer(a.AdoptedVersion) {
 		m.phase, m.since = view.Warming, now
 		s.dirty = true
 	}
--- a/core/lease/seats.go
+++ b/core/lease/seats.go
@@ -42,7 +42,7 @@
 	}
 	var out []netip.AddrPort
 	for _, m := range r.members {
-		if !r.seated(m) && m.phase != view.Gone && !m.announcement.Ended {
+		if !r.seated(m) && m.phase != view.Gone && !m.announcement.BackendDown {
 			out = append(out, m.announcement.Packets)
 		}
 	}
@@ -76,11 +76,11 @@
 
 // holdsFlows reports whether callers may still have flows at a member.
 func (r *Registry) holdsFlows(now time.Duration, m *member) bool {
-	return !m.announcement.Ended && (m.phase != view.Gone || now-m.since < vacantAfter)
+	return !m.announcement.BackendDown && (m.phase != view.Gone || now-m.since < vacantAfter)
 }
 
 func (r *Registry) seated(m *member) bool {
-	return r.seats == nil || !m.announcement.Authoritative || r.seats.known[m.announcement.Packets]
+	return r.seats == nil || !m.announcement.BackendTracksFlows || r.seats.known[m.announcement.Packets]
 }
 
 // arrived notes that the agent at an address was heard.
@@ -106,7 +106,7 @@
 // flows, so that a view without others ends none.
 func (s *service) authoritative() bool {
 	for _, m := range s.members {
-		if !m.announcement.Authoritative {
+		if !m.announcement.BackendTracksFlows {
 			return false
 		}
 	}
--- a/core/lease/seats_test.go
+++ b/core/lease/seats_test.go
@@ -21,7 +21,7 @@
 func authoritative(t *testing.T, r *Registry, now time.Duration, n int) {
 	t.Helper()
 	err := r.Announce(now, 1, view.Announcement{
-		ID: fmt.Sprint("host-", n), Incarnation: 1, Packets: seat(n), Healthy: true, Authoritative: true,
+		ID: fmt.Sprint("host-", n), Incarnation: 1, Packets: seat(n), Healthy: true, BackendTracksFlows: true,
 		Slots: 4, Sequence: uint64(now) + 1,
 	})
 	if err != nil {
@@ -73,11 +73,11 @@
 	authoritative(t, r, 0, 2)
 	is.Equal(r.Unseated(), []netip.AddrPort{seat(2)})
 	v := r.Tick(collect)[0]
-	is.Equal(v.Members[0].TakesNew(), true)
-	is.Equal(v.Members[1].TakesNew(), false)
+	is.Equal(v.Members[0].AcceptsNewFlows(), true)
+	is.Equal(v.Members[1].AcceptsNewFlows(), false)
 	r.SetSeats([]netip.AddrPort{seat(1), seat(2)})
 	v = r.Tick(collect + time.Second)[0]
-	is.Equal(v.Members[1].TakesNew(), true)
+	is.Equal(v.Members[1].AcceptsNewFlows(), true)
 	is.Equal(len(r.Unseated()), 0)
 }
 
@@ -89,7 +89,7 @@
 	r.Tick(collect)
 	is.Equal(len(r.Vacant(collect)), 0)
 	is.NoErr(r.Announce(collect, 1, view.Announcement{
-		ID: "host-2", Incarnation: 1, Packets: seat(2), Authoritative: true, Draining: true, Ended: true,
+		ID: "host-2", Incarnation: 1, Packets: seat(2), BackendTracksFlows: true, Draining: true, BackendDown: true,
 		Sequence: uint64(time.Second),
 	}))
 	is.Equal(r.Vacant(collect), []netip.AddrPort{seat(2)})
--- a/core/lease/status.go
+++ b/core/lease/status.go
@@ -75,7 +75,7 @@
 		return nil
 	}
 	s, n := r.services[id], len(v.Members)
-	start := max(0, v.Find(around)-limit/2)
+	start := max(0, v.IndexOf(around)-limit/2)
 	out := make([]view.Load, 0, min(n, limit))
 	for i := range min(n, limit) {
 		key := v.Members[(start+i)%n].ID
--- a/core/locator/bench_test.go
+++ b/core/locator/bench_test.go
@@ -49,10 +49,10 @@
 			}
 			var stats locator.Stats
 			for b.Loop() {
-				p := locator.New(locator.Options{Self: self, Flows: agent})
+				p := locator.NewPusher(locator.Options{Self: self, Flows: agent})
 				p.SetView(0, before)
 				p.SetView(0, after)
-				for p.Unacknowledged() > int(p.Stats().Pointers) {
+				for p.UnacknowledgedPointers() > int(p.Stats().Pointers) {
 					p.Tick(0)
 				}
 				stats = p.Stats()
--- a/core/locator/example_test.go
+++ b/core/locator/example_test.go
@@ -22,7 +22,7 @@
 	agent := flow.NewAgent(flow.AgentOptions{Self: self})
 	agent.SetService(1, view.Version{}, []netip.AddrPort{address})
 	agent.SetView(0, before)
-	pusher := locator.New(locator.Options{Self: self, Flows: agent})
+	pusher := locator.NewPusher(locator.Options{Self: self, Flows: agent})
 	pusher.SetView(0, before)
 
 	tuple := flow.Tuple{Caller: netip.MustParseAddrPort("198.51.100.7:5000"), Service: address}
--- a/core/locator/locator.go
+++ b/core/locator/locator.go
@@ -43,10 +43,10 @@
 	Batch Batch
 }
 
-// Flows is the flow table whose owned flows are pushed.
-type Flows interface {
-	// Owned calls f with every owned flow until f returns false.
-	Owned(f func(flow.ID) bool)
+// FlowTable is the flow table whose owned flows are pushed.
+type FlowTable interface {
+	// ForEachOwned calls f with every owned flow until f returns false.
+	ForEachOwned(f func(flow.ID) bool)
 	// Owns reports whether the flow is still owned.
 	Owns(flow.ID) bool
 }
@@ -56,18 +56,18 @@
 	// Self is this run of the agent.
 	Self flow.Peer
 	// Flows is the agent's flow table.
-	Flows Flows
+	Flows FlowTable
 	// BatchSize is the number of pointers in a batch at most.
 	BatchSize int
 	// BatchesPerTick is the number of batches that one Tick sends at most, which
 	// bounds the rate of pushing.
 	BatchesPerTick int
-	// RetryAfter is the wait for an acknowledgement before the first resend. It
+	// RetryDelay is the wait for an acknowledgement before the first resend. It
 	// doubles with each resend up to RetryLimit.
-	RetryAfter time.Duration
-	RetryLimit time.Duration
-	// RefreshEvery is the time between pushes of all pointers.
-	RefreshEvery time.Duration
+	RetryDelay    time.Duration
+	MaxRetryDelay time.Duration
+	// RefreshInterval is the time between pushes of all pointers.
+	RefreshInterval time.Duration
 }
 
 func (o *Options) setDefaults() {
@@ -77,24 +77,24 @@
 	if o.BatchesPerTick == 0 {
 		o.BatchesPerTick = 8
 	}
-	if o.RetryAfter == 0 {
-		o.RetryAfter = 200 * time.Millisecond
+	if o.RetryDelay == 0 {
+		o.RetryDelay = 200 * time.Millisecond
 	}
-	if o.RetryLimit == 0 {
-		o.RetryLimit = 5 * time.Second
+	if o.MaxRetryDelay == 0 {
+		o.MaxRetryDelay = 5 * time.Second
 	}
-	if o.RefreshEvery == 0 {
-		o.RefreshEvery = 4 * time.Minute
+	if o.RefreshInterval == 0 {
+		o.RefreshInterval = 4 * time.Minute
 	}
 }
 
 // Stats are a Pusher's counts since its start.
 type Stats struct {
-	Pointers uint64 // pointers sent, resends included
-	Batches  uint64 // batches sent, resends included
-	Resends  uint64 // batches sent again
-	Told     uint64 // pointers sent in answer to a question
-	Acked    uint64 // batches acknowledged
+	Pointers       uint64 // pointers sent, resends included
+	Batches        uint64 // batches sent, resends included
+	Resends        uint64 // batches sent again
+	AnswerPointers uint64 `json:"Told"` // pointers sent in answer to a question
+	Acked          uint64 // batches acknowledged
 }
 
 // Pusher pushes the pointers of one agent. Its methods may be called from
@@ -130,18 +130,18 @@
 	owner flow.Peer
 }
 
-// New returns a Pusher without a view.
-func New(o Options) *Pusher {
+// NewPusher returns a Pusher without a view.
+func NewPusher(o Options) *Pusher {
 	o.setDefaults()
 	return &Pusher{options: o, holders: make(map[uint64]*holder), told: make(map[tellKey]*Batch)}
 }
 
-// Holders appends to peers the agents of v that are to hold pointers to a flow
+// AppendPointerHolders appends to peers the agents of v that are to hold pointers to a flow
 // that self owns: the pick, the second choice, and the first choice outside the
 // pick's availability zone, so that the loss of the pick or of its zone leads
 // to an agent with a pointer. A flow that is owned by its pick needs none.
-func Holders(peers []flow.Peer, key uint64, v *view.View, self uint64) []flow.Peer {
-	first, second := placement.Two(key, v)
+func AppendPointerHolders(peers []flow.Peer, key uint64, v *view.View, self uint64) []flow.Peer {
+	first, second := placement.PickTwo(key, v)
 	if first == placement.None || v.Seed(first) == self {
 		return peers
 	}
@@ -155,7 +155,7 @@
 	if v.Members[first].Zone != v.Members[second].Zone {
 		return peers
 	}
-	outside := placement.Outside(key, v, v.Members[first].Zone)
+	outside := placement.PickOutsideZone(key, v, v.Members[first].Zone)
 	if outside != placement.None && v.Seed(outside) != self {
 		peers = append(peers, flow.PeerOf(v, outside))
 	}
@@ -173,16 +173,16 @@
 	}
 	p.view = v
 	if old == nil {
-		p.refresh = now + p.options.RefreshEvery
+		p.refresh = now + p.options.RefreshInterval
 	}
 	p.retarget()
 	var required, held []flow.Peer
-	p.options.Flows.Owned(func(id flow.ID) bool {
+	p.options.Flows.ForEachOwned(func(id flow.ID) bool {
 		held = held[:0]
 		if old != nil {
-			held = Holders(held, id.Key, old, p.options.Self.Seed)
+			held = AppendPointerHolders(held, id.Key, old, p.options.Self.Seed)
 		}
-		required = Holders(required[:0], id.Key, v, p.options.Self.Seed)
+		required = AppendPointerHolders(required[:0], id.Key, v, p.options.Self.Seed)
 		for _, peer := range required {
 			if !slices.Contains(held, peer) {
 				p.queue(peer, id)
@@ -197,7 +197,7 @@
 // those that run anew.
 func (p *Pusher) retarget() {
 	for seed, h := range p.holders {
-		i := p.view.FindSeed(seed)
+		i := p.view.IndexOfSeed(seed)
 		if i < 0 || p.view.Members[i].State == view.Gone {
 			delete(p.holders, seed)
 			continue
@@ -215,21 +215,21 @@
 	h.pending = append(h.pending, id)
 }
 
-// Opened queues the pointers of a flow that the agent has just taken.
-func (p *Pusher) Opened(id flow.ID) {
+// AddFlow queues the pointers of a flow that the agent has just taken.
+func (p *Pusher) AddFlow(id flow.ID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.view == nil {
 		return
 	}
 	var buf [3]flow.Peer
-	for _, peer := range Holders(buf[:0], id.Key, p.view, p.options.Self.Seed) {
+	for _, peer := range AppendPointerHolders(buf[:0], id.Key, p.view, p.options.Self.Seed) {
 		p.queue(peer, id)
 	}
 }
 
-// Tell queues an answer: to learns that owner holds the flow.
-func (p *Pusher) Tell(to, owner flow.Peer, id flow.ID) {
+// QueueAnswer queues an answer: to learns that owner holds the flow.
+func (p *Pusher) QueueAnswer(to, owner flow.Peer, id flow.ID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	key := tellKey{to: to, owner: owner}
@@ -243,8 +243,8 @@
 	}
 }
 
-// Acked notes an acknowledgement.
-func (p *Pusher) Acked(a Ack) {
+// HandleAck notes an acknowledgement.
+func (p *Pusher) HandleAck(a Ack) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	h := p.holders[a.From.Seed]
@@ -268,7 +268,7 @@
 		return nil
 	}
 	if now >= p.refresh {
-		p.refresh = now + p.options.RefreshEvery
+		p.refresh = now + p.options.RefreshInterval
 		p.requeue()
 	}
 	var out []Message
@@ -287,7 +287,7 @@
 	for key, b := range p.told {
 		b.Service = p.view.Service
 		out = append(out, Message{To: key.to, Batch: *b})
-		p.stats.Told += uint64(len(b.Flows))
+		p.stats.AnswerPointers += uint64(len(b.Flows))
 	}
 	clear(p.told)
 	slices.SortFunc(out, func(a, b Message) int {
@@ -302,8 +302,8 @@
 // requeue queues every pointer that the view in force requires.
 func (p *Pusher) requeue() {
 	var required []flow.Peer
-	p.options.Flows.Owned(func(id flow.ID) bool {
-		required = Holders(required[:0], id.Key, p.view, p.options.Self.Seed)
+	p.options.Flows.ForEachOwned(func(id flow.ID) bool {
+		required = AppendPointerHolders(required[:0], id.Key, p.view, p.options.Self.Seed)
 		for _, peer := range required {
 			p.queue(peer, id)
 		}
@@ -320,7 +320,7 @@
 			continue
 		}
 		s.flows = slices.DeleteFunc(s.flows, func(id flow.ID) bool { return !p.options.Flows.Owns(id) })
-		s.wait = min(2*s.wait, p.options.RetryLimit)
+		s.wait = min(2*s.wait, p.options.MaxRetryDelay)
 		s.due = now + s.wait
 		if len(s.flows) > 0 {
 			p.stats.Resends++
@@ -338,7 +338,7 @@
 		p.sequence++
 		s := sentBatch{
 			sequence: p.sequence, flows: slices.Clone(h.pending[:n]),
-			due: now + p.options.RetryAfter, wait: p.options.RetryAfter,
+			due: now + p.options.RetryDelay, wait: p.options.RetryDelay,
 		}
 		h.pending = h.pending[n:]
 		h.sent = append(h.sent, s)
@@ -369,9 +369,9 @@
 	return p.stats
 }
 
-// Unacknowledged returns the number of pointers sent or queued whose receipt is
+// UnacknowledgedPointers returns the number of pointers sent or queued whose receipt is
 // not known.
-func (p *Pusher) Unacknowledged() int {
+func (p *Pusher) UnacknowledgedPointers() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
--- a/core/locator/locator_test.go
+++ b/core/locator/locator_test.go
@@ -100,7 +100,7 @@
 	}
 	is.Equal(len(w.doubled), 0)
 	is.True(w.hosts[0].pusher.Stats().Resends > 0)
-	is.True(w.hosts[0].pusher.Unacknowledged() > 0)
+	is.True(w.hosts[0].pusher.UnacknowledgedPointers() > 0)
 }
 
 // TestPushesFollowRestarts checks that pointers are pushed again to a holder
@@ -134,7 +134,7 @@
 		return n
 	}
 	is.True(pointers() >= 2*owned) // the pick and its replacement
-	is.Equal(w.hosts[0].pusher.Unacknowledged(), 0)
+	is.Equal(w.hosts[0].pusher.UnacknowledgedPointers(), 0)
 	before, sent := pointers(), w.hosts[0].pusher.Stats().Pointers
 	w.run(w.hosts[1])
 	is.True(pointers() < before)
--- a/core/locator/sim_test.go
+++ b/core/locator/sim_test.go
@@ -131,7 +131,7 @@
 	self := flow.Peer{Seed: view.SeedOf(h.id()), Incarnation: h.incarnation, Addr: h.addr()}
 	h.agent = flow.NewAgent(flow.AgentOptions{Self: self, IdleTimeout: time.Hour, PointerTTL: 2 * time.Hour})
 	h.agent.SetService(service, view.Version{}, []netip.AddrPort{address})
-	h.pusher = locator.New(locator.Options{Self: self, Flows: h.agent})
+	h.pusher = locator.NewPusher(locator.Options{Self: self, Flows: h.agent})
 }
 
 func (h *host) id() string { return fmt.Sprintf("host-%d", h.index) }
@@ -156,7 +156,7 @@
 	v := view.New(service, version, members)
 	for i := len(w.published) - 1; i >= 0 && w.now-w.published[i].at <= window; i-- {
 		old := w.published[i].view
-		past := view.Past{Version: old.Version, Weights: make([]uint32, len(members))}
+		past := view.EarlierWeights{Version: old.Version, Weights: make([]uint32, len(members))}
 		for m := range old.Members {
 			past.Weights[m] = old.Members[m].PlacementWeight()
 		}
@@ -305,7 +305,7 @@
 		}
 	default:
 		h.agent.Heard(e.ack.From)
-		h.pusher.Acked(*e.ack)
+		h.pusher.HandleAck(*e.ack)
 	}
 }
 
@@ -313,14 +313,14 @@
 	t := p.Tuple
 	action := h.agent.Receive(w.now, p)
 	if !action.Tell.IsZero() {
-		h.pusher.Tell(action.Tell, action.Owner, t.ID())
+		h.pusher.QueueAnswer(action.Tell, action.Owner, t.ID())
 	}
 	switch action.Verdict {
 	case flow.Relay:
 		w.send(event{to: action.To, packet: p})
 	case flow.Deliver:
 		if action.Opened {
-			h.pusher.Opened(t.ID())
+			h.pusher.AddFlow(t.ID())
 		}
 		w.deliver(h, t)
 	}
--- a/core/placement/baseline/baseline.go
+++ b/core/placement/baseline/baseline.go
@@ -14,8 +14,8 @@
 type Picker interface {
 	// Pick returns the index of a member, or placement.None.
 	Pick(key uint64) int
-	// Bytes is the memory the picker holds beyond the view.
-	Bytes() int
+	// MemorySize is the memory the picker holds beyond the view.
+	MemorySize() int
 }
 
 // Modulo indexes the targets by key modulo their number. Weights are ignored.
@@ -32,8 +32,8 @@
 	return int(m.targets[spread(key)%uint64(len(m.targets))].Index)
 }
 
-// Bytes implements Picker.
-func (m *Modulo) Bytes() int { return 0 }
+// MemorySize implements Picker.
+func (m *Modulo) MemorySize() int { return 0 }
 
 // Rendezvous is the production choice behind the Picker interface.
 type Rendezvous struct{ view *view.View }
@@ -44,8 +44,8 @@
 // Pick implements Picker.
 func (r *Rendezvous) Pick(key uint64) int { return placement.Pick(key, r.view) }
 
-// Bytes implements Picker.
-func (r *Rendezvous) Bytes() int { return targetBytes * len(r.view.Targets()) }
+// MemorySize implements Picker.
+func (r *Rendezvous) MemorySize() int { return targetBytes * len(r.view.Targets()) }
 
 const targetBytes = 16
 
@@ -91,8 +91,8 @@
 // Pick implements Picker.
 func (m *Maglev) Pick(key uint64) int { return int(m.table[spread(key)%uint64(len(m.table))]) }
 
-// Bytes implements Picker.
-func (m *Maglev) Bytes() int { return 4 * len(m.table) }
+// MemorySize implements Picker.
+func (m *Maglev) MemorySize() int { return 4 * len(m.table) }
 
 // TwoLevel chooses a group by rendezvous hashing over the groups' summed
 // weights, then a member within the group.
@@ -128,8 +128,8 @@
 	return placement.PickTarget(key, t.members[g])
 }
 
-// Bytes implements Picker.
-func (t *TwoLevel) Bytes() int {
+// MemorySize implements Picker.
+func (t *TwoLevel) MemorySize() int {
 	n := targetBytes * len(t.groups)
 	for _, m := range t.members {
 		n += targetBytes * len(m)
--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -17,10 +17,10 @@
 	return PickTarget(key, v.Targets())
 }
 
-// PickPast returns the index of the member of v that key was placed on under
+// PickEarlier returns the index of the member of v that key was placed on under
 // v.Earlier[i], or None. A member that has left v since is passed over.
-func PickPast(key uint64, v *view.View, i int) int {
-	return PickTarget(key, v.PastTargets(i))
+func PickEarlier(key uint64, v *view.View, i int) int {
+	return PickTarget(key, v.EarlierTargets(i))
 }
 
 // PickTarget returns the Index of the target that key is placed on, or None.
@@ -35,11 +35,11 @@
 	return int(best.index)
 }
 
-// PickStaying is PickTarget among the targets whose members of v stay.
-func PickStaying(key uint64, v *view.View, targets []view.Target) int {
+// PickStable is PickTarget among the targets whose members of v stay.
+func PickStable(key uint64, v *view.View, targets []view.Target) int {
 	best := candidate{index: None}
 	for i := range targets {
-		if !v.Members[targets[i].Index].Stays() {
+		if !v.Members[targets[i].Index].IsStable() {
 			continue
 		}
 		c := newCandidate(key, &targets[i])
@@ -50,9 +50,9 @@
 	return int(best.index)
 }
 
-// Two returns the indexes of the first and the second choice for key, or None
+// PickTwo returns the indexes of the first and the second choice for key, or None
 // in their place. If the first leaves the view, Pick returns the second.
-func Two(key uint64, v *view.View) (first, second int) {
+func PickTwo(key uint64, v *view.View) (first, second int) {
 	a, b := candidate{index: None}, candidate{index: None}
 	targets := v.Targets()
 	for i := range targets {
@@ -67,9 +67,9 @@
 	return int(a.index), int(b.index)
 }
 
-// Outside returns the index of the first choice for key among the members that
+// PickOutsideZone returns the index of the first choice for key among the members that
 // are not in the given availability zone, or None.
-func Outside(key uint64, v *view.View, zone string) int {
+func PickOutsideZone(key uint64, v *view.View, zone string) int {
 	best := candidate{index: None}
 	targets := v.Targets()
 	for i := range targets {
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -44,18 +44,18 @@
 		v := hosts(1+rng.IntN(12), func(int) uint32 { return uint32(rng.IntN(5)) * 25 })
 		for range 50 {
 			key := rng.Uint64()
-			first, second := placement.Two(key, v)
+			first, second := placement.PickTwo(key, v)
 			is.Equal(placement.Pick(key, v), naivePick(key, v))
 			is.Equal(first, placement.Pick(key, v))
 			if first == placement.None {
 				is.Equal(second, placement.None)
 				continue
 			}
-			is.True(placement.Outside(key, v, v.Members[first].Zone) != first)
+			is.True(placement.PickOutsideZone(key, v, v.Members[first].Zone) != first)
 			without := append([]view.BackendServer(nil), v.Members...)
 			without[first].State = view.Draining
 			rest := view.New(1, v.Version, without)
-			if rest.Resting() {
+			if rest.IsDrainOnly() {
 				// Nobody else takes new flows, so there is no second choice.
 				is.Equal(second, placement.None)
 				continue
@@ -85,10 +85,10 @@
 	before, after := hosts(7, equal), hosts(7, equal)
 	after.Members[3].State = view.Draining
 	weights := []uint32{100, 100, 100, 100, 100, 100, 100}
-	after.Earlier = []view.Past{{Version: before.Version, Weights: weights}}
+	after.Earlier = []view.EarlierWeights{{Version: before.Version, Weights: weights}}
 	after.Prepare()
 	for key := range uint64(1000) {
-		is.Equal(placement.PickPast(key, after, 0), placement.Pick(key, before))
+		is.Equal(placement.PickEarlier(key, after, 0), placement.Pick(key, before))
 		is.True(placement.Pick(key, after) != 3)
 	}
 }
@@ -96,7 +96,7 @@
 func TestNoAllocations(t *testing.T) {
 	v := hosts(7, func(i int) uint32 { return uint32(90 + i) })
 	key := uint64(1)
-	is.New(t).Equal(testing.AllocsPerRun(100, func() { key++; placement.Two(key, v) }), 0.0)
+	is.New(t).Equal(testing.AllocsPerRun(100, func() { key++; placement.PickTwo(key, v) }), 0.0)
 }
 
 var ways = []struct {
@@ -137,7 +137,7 @@
 					key += 0x9e3779b97f4a7c15
 					p.Pick(key)
 				}
-				b.ReportMetric(float64(p.Bytes()), "bytes")
+				b.ReportMetric(float64(p.MemorySize()), "bytes")
 				b.ReportMetric(moved, "moved/needed")
 			})
 		}
--- a/core/steer/host.go
+++ b/core/steer/agent.go
@@ -9,34 +9,34 @@
 	"fulmarmount.org/core/view"
 )
 
-// Standing is what a backend server says of itself.
-type Standing uint8
+// BackendState is what a backend server says of itself.
+type BackendState uint8
 
 // The standings.
 const (
-	Unheard  Standing = iota // has not said anything yet
-	Serving                  // takes new flows
-	Draining                 // keeps its flows
-	Left                     // has said that it is gone
+	BackendUnknown      BackendState = iota // has not said anything yet
+	BackendServing                          // takes new flows
+	BackendDraining                         // keeps its flows
+	BackendDeregistered                     // has said that it is gone
 )
 
 var standingNames = [...]string{"unheard", "serving", "draining", "left"}
 
 // String returns the standing's name.
-func (s Standing) String() string { return standingNames[s] }
+func (s BackendState) String() string { return standingNames[s] }
 
-// Arrival is how a segment has come to a host.
-type Arrival struct {
+// ForwardInfo is how a segment has come to a host.
+type ForwardInfo struct {
 	Service view.ServiceID
-	// Position is the version of the service's configuration that the balancer
+	// ConfigVersion is the version of the service's configuration that the balancer
 	// has decided by.
-	Position view.Version
-	// Run is the run of the backend server that the balancer has chosen.
-	Run view.Incarnation
+	ConfigVersion view.Version
+	// Incarnation is the run of the backend server that the balancer has chosen.
+	Incarnation view.Incarnation
 	// Balancer is where a return goes.
-	Balancer netip.AddrPort
-	Hops     uint8
-	Informed bool
+	Balancer   netip.AddrPort
+	Hops       uint8
+	OwnerKnown bool
 }
 
 // Refusal tells why a host returns a segment.
@@ -44,13 +44,13 @@
 
 // The refusals.
 const (
-	NoRefusal     Refusal = iota
-	OtherService          // the backend server serves another service
-	NotRouted             // no caller may reach the service by this address
-	NotTaking             // the backend server takes no new flows
-	Unknown               // the backend server does not hold the flow
-	Ended                 // the backend server has ended, and its flows with it
-	refusalsCount = iota
+	RefusalNone         Refusal = iota
+	RefusalWrongService         // the backend server serves another service
+	RefusalNotRouted            // no caller may reach the service by this address
+	RefusalNotServing           // the backend server takes no new flows
+	RefusalUnknownFlow          // the backend server does not hold the flow
+	RefusalBackendDown          // the backend server has ended, and its flows with it
+	refusalsCount       = iota
 )
 
 var refusalNames = [refusalsCount]string{"none", "other_service", "not_routed", "not_taking", "unknown_flow", "ended"}
@@ -58,15 +58,15 @@
 // String returns the refusal's name.
 func (r Refusal) String() string { return refusalNames[r] }
 
-// HostDecision is what to do with one segment.
-type HostDecision struct {
+// AgentDecision is what to do with one segment.
+type AgentDecision struct {
 	// Refusal is NoRefusal where the segment goes to the backend server; others
 	// return it to the balancer.
 	Refusal Refusal
 	// Token comes back with the segment if the backend server bounces it.
 	Token uint32
-	// Tell asks that the balancer be told that the flow is here.
-	Tell bool
+	// NotifyBalancer asks that the balancer be told that the flow is here.
+	NotifyBalancer bool
 }
 
 // hostFlow is a flow that the backend server holds.
@@ -95,9 +95,9 @@
 	maxProbes = 8192
 )
 
-// Host decides about the segments of one backend server. It is safe for
+// Agent decides about the segments of one backend server. It is safe for
 // concurrent use.
-type Host struct {
+type Agent struct {
 	mu      sync.Mutex
 	run     view.Incarnation
 	service view.ServiceID
@@ -105,7 +105,7 @@
 	untold   bool
 	routed   map[netip.AddrPort]bool
 	position view.Version
-	standing Standing
+	standing BackendState
 	// silence is how long nothing was heard of the backend server.
 	silence time.Duration
 	// patience is the silence after which it has ended.
@@ -127,28 +127,28 @@
 // pending is a segment that was delivered.
 type pending struct {
 	token   uint32
-	arrival Arrival
+	arrival ForwardInfo
 }
 
-// HostOptions configure a Host.
-type HostOptions struct {
-	// Patience is how long a backend server may be silent.
-	Patience time.Duration
-	// Idle is how long a flow may be silent.
-	Idle time.Duration
+// AgentOptions configure a Host.
+type AgentOptions struct {
+	// SilenceTimeout is how long a backend server may be silent.
+	SilenceTimeout time.Duration
+	// IdleTimeout is how long a flow may be silent.
+	IdleTimeout time.Duration
 }
 
-// NewHost returns a Host that was started at now.
-func NewHost(now time.Duration, o HostOptions) *Host {
-	return &Host{
-		patience: o.Patience, idle: o.Idle, started: now, ticked: now, untold: true,
+// NewAgent returns a Host that was started at now.
+func NewAgent(now time.Duration, o AgentOptions) *Agent {
+	return &Agent{
+		patience: o.SilenceTimeout, idle: o.IdleTimeout, started: now, ticked: now, untold: true,
 		flows: make(map[flow.ID]*hostFlow), probes: make(map[flow.ID]netip.AddrPort), routed: make(map[netip.AddrPort]bool),
 	}
 }
 
 // SetService puts the service's configuration in force: the addresses that lead
 // to it, as of position; 0 for a service that was removed.
-func (h *Host) SetService(id view.ServiceID, position view.Version, routed []netip.AddrPort) {
+func (h *Agent) SetService(id view.ServiceID, position view.Version, routed []netip.AddrPort) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.service, h.position, h.untold = id, position, false
@@ -158,18 +158,18 @@
 	}
 }
 
-// ForgetService notes that the backend server serves another service, whose
+// ClearService notes that the backend server serves another service, whose
 // configuration is not known yet.
-func (h *Host) ForgetService() {
+func (h *Agent) ClearService() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.service, h.position, h.untold = 0, view.Version{}, true
 	clear(h.routed)
 }
 
-// Begin notes a new run of the backend server, which holds no flow. Where it is
+// StartIncarnation notes a new run of the backend server, which holds no flow. Where it is
 // first, the run may have begun before this process did.
-func (h *Host) Begin(run view.Incarnation, first bool) {
+func (h *Agent) StartIncarnation(run view.Incarnation, first bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.run = run
@@ -179,95 +179,95 @@
 	h.whole = !first
 }
 
-// SetStanding notes what the backend server says of itself.
-func (h *Host) SetStanding(s Standing) {
+// SetState notes what the backend server says of itself.
+func (h *Agent) SetState(s BackendState) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.standing, h.silence = s, 0
 }
 
-// Standing returns what the backend server has last said of itself.
-func (h *Host) Standing() Standing {
+// State returns what the backend server has last said of itself.
+func (h *Agent) State() BackendState {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.standing
 }
 
 // Load returns the load to report.
-func (h *Host) Load() Load {
+func (h *Agent) Load() Load {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return Load{Flows: uint32(len(h.flows)), Running: h.running}
+	return Load{Flows: uint32(len(h.flows)), RunningRequests: h.running}
 }
 
-// Ended reports whether the backend server is taken to have ended.
-func (h *Host) Ended() bool {
+// IsDown reports whether the backend server is taken to have ended.
+func (h *Agent) IsDown() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.ended()
 }
 
-func (h *Host) ended() bool {
-	return h.standing == Left || h.standing != Unheard && h.silence > h.patience
+func (h *Agent) ended() bool {
+	return h.standing == BackendDeregistered || h.standing != BackendUnknown && h.silence > h.patience
 }
 
 // Receive decides about a segment from a balancer.
-func (h *Host) Receive(now time.Duration, s *Segment, a Arrival) HostDecision {
+func (h *Agent) Receive(now time.Duration, s *Segment, a ForwardInfo) AgentDecision {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	id := s.Tuple.ID()
 	f := h.flows[id]
-	if refusal := h.refuses(now, f, s, a); refusal != NoRefusal {
-		return HostDecision{Refusal: refusal}
+	if refusal := h.refuses(now, f, s, a); refusal != RefusalNone {
+		return AgentDecision{Refusal: refusal}
 	}
-	tell := f != nil && !a.Informed
+	tell := f != nil && !a.OwnerKnown
 	h.note(now, f, s)
 	switch {
-	case s.Opens():
+	case s.OpensFlow():
 		h.held(now, id).balancer = a.Balancer
 	case f == nil && len(h.probes) < maxProbes:
 		h.probes[id] = a.Balancer
 	}
-	return HostDecision{Token: h.remember(a), Tell: tell}
+	return AgentDecision{Token: h.remember(a), NotifyBalancer: tell}
 }
 
 // refuses returns why a segment is not delivered. f is its flow, nil where the
 // flow is not known here.
-func (h *Host) refuses(now time.Duration, f *hostFlow, s *Segment, a Arrival) Refusal {
-	if s.Opens() {
+func (h *Agent) refuses(now time.Duration, f *hostFlow, s *Segment, a ForwardInfo) Refusal {
+	if s.OpensFlow() {
 		return h.refusesNew(a, s)
 	}
 	switch {
 	case f != nil && h.ended():
-		return Ended
+		return RefusalBackendDown
 	case f != nil:
-		return NoRefusal
+		return RefusalNone
 	case h.ended():
-		return Unknown
-	case h.whole || now-h.started > MaxFlowAge:
-		return Unknown
+		return RefusalUnknownFlow
+	case h.whole || now-h.started > MaxFlowLifetime:
+		return RefusalUnknownFlow
 	}
-	return NoRefusal // the backend server knows
+	return RefusalNone // the backend server knows
 }
 
 // refusesNew judges a new flow by the newer of both configurations. While none is
 // known here, the balancer's counts if it has chosen this run of the backend server,
 // whose service it then knows from a view.
-func (h *Host) refusesNew(a Arrival, s *Segment) Refusal {
-	chosen := h.untold && a.Run != 0 && a.Run == h.run
+func (h *Agent) refusesNew(a ForwardInfo, s *Segment) Refusal {
+	chosen := h.untold && a.Incarnation != 0 && a.Incarnation == h.run
 	switch {
 	case !chosen && (h.service == 0 || a.Service != h.service):
-		return OtherService
-	case h.standing != Serving || h.ended():
-		return NotTaking
-	case !h.routed[s.Tuple.Service] && !a.Position.Newer(h.position):
-		return NotRouted
+		return RefusalWrongService
+	case h.standing != BackendServing || h.ended():
+		return RefusalNotServing
+	case !h.routed[s.Tuple.Service] && !a.ConfigVersion.Newer(h.position):
+		return RefusalNotRouted
 	}
-	return NoRefusal
+	return RefusalNone
 }
 
 // held returns a flow of which a segment was just seen.
-func (h *Host) held(now time.Duration, id flow.ID) *hostFlow {
+func (h *Agent) held(now time.Duration, id flow.ID) *hostFlow {
 	f := h.flows[id]
 	if f == nil {
 		f = &hostFlow{}
@@ -278,7 +278,7 @@
 }
 
 // note follows a flow by a segment of its caller.
-func (h *Host) note(now time.Duration, f *hostFlow, s *Segment) {
+func (h *Agent) note(now time.Duration, f *hostFlow, s *Segment) {
 	if f == nil {
 		return
 	}
@@ -304,7 +304,7 @@
 }
 
 // setRunning notes whether a flow's caller waits for an answer.
-func (h *Host) setRunning(f *hostFlow, running bool) {
+func (h *Agent) setRunning(f *hostFlow, running bool) {
 	switch {
 	case running && !f.running:
 		h.running++
@@ -315,7 +315,7 @@
 }
 
 // remember stores an arrival until its segment may bounce. Tokens are never 0.
-func (h *Host) remember(a Arrival) uint32 {
+func (h *Agent) remember(a ForwardInfo) uint32 {
 	h.next++
 	if h.next == 0 {
 		h.next = 1
@@ -324,9 +324,9 @@
 	return h.next
 }
 
-// Bounced returns how a segment that the backend server does not take had come.
+// HandleBounce returns how a segment that the backend server does not take had come.
 // It is false where that is forgotten.
-func (h *Host) Bounced(s *Segment, token uint32) (Arrival, bool) {
+func (h *Agent) HandleBounce(s *Segment, token uint32) (ForwardInfo, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.silence = 0
@@ -337,7 +337,7 @@
 	return p.arrival, token != 0 && p.token == token
 }
 
-func (h *Host) forget(id flow.ID) {
+func (h *Agent) forget(id flow.ID) {
 	f := h.flows[id]
 	if f == nil {
 		return
@@ -346,14 +346,14 @@
 	delete(h.flows, id)
 }
 
-// Sent notes a segment of the backend server. It returns the balancer that is to
+// ObserveReply notes a segment of the backend server. It returns the balancer that is to
 // be told that the flow is here, if any.
-func (h *Host) Sent(now time.Duration, s *Segment) (tell netip.AddrPort) {
+func (h *Agent) ObserveReply(now time.Duration, s *Segment) (tell netip.AddrPort) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.silence = 0
 	id := s.Tuple.ID()
-	if s.Has(RST) {
+	if s.HasFlags(RST) {
 		h.forget(id)
 		return netip.AddrPort{}
 	}
@@ -361,8 +361,8 @@
 	if s.Length > 0 {
 		h.setRunning(f, false)
 	}
-	f.hostFIN = f.hostFIN || s.Has(FIN)
-	if s.Has(SYN) {
+	f.hostFIN = f.hostFIN || s.HasFlags(FIN)
+	if s.HasFlags(SYN) {
 		h.setRunning(f, true) // its caller is about to ask
 		return f.balancer
 	}
@@ -373,7 +373,7 @@
 
 // Tick lets time pass: it counts the backend server's silence and forgets flows
 // that have ended. It reports whether the backend server has just ended.
-func (h *Host) Tick(now time.Duration) (ended bool) {
+func (h *Agent) Tick(now time.Duration) (ended bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	before := h.ended()
--- a/core/steer/balancer.go
+++ b/core/steer/balancer.go
@@ -26,20 +26,20 @@
 
 // The reasons.
 const (
-	Placed       Reason = iota // a new flow, placed by load
-	Remembered                 // sent where the flow went before
-	Searched                   // sent where the flow may be
-	NoRoute                    // no service has the address
-	NoMember                   // no member takes new flows
-	NotHeld                    // every member has returned the segment
-	HostEnded                  // the flow's backend server has ended
-	NotCurrent                 // the configuration is not known to be current
-	Unanswered                 // a member has not answered
-	SearchBound                // more members than a search may ask
-	ViewPartial                // members that may hold the flow may be missing
-	Full                       // every member has more requests waiting than it can answer in time
-	PlaceBound                 // too many members have turned the flow away
-	reasonsCount = iota
+	ReasonPlaced            Reason = iota // a new flow, placed by load
+	ReasonCachedOwner                     // sent where the flow went before
+	ReasonSearched                        // sent where the flow may be
+	ReasonNoRoute                         // no service has the address
+	ReasonNoMember                        // no member takes new flows
+	ReasonFlowNotFound                    // every member has returned the segment
+	ReasonBackendDown                     // the flow's backend server has ended
+	ReasonConfigUnconfirmed               // the configuration is not known to be current
+	ReasonProbeTimeout                    // a member has not answered
+	ReasonSearchLimit                     // more members than a search may ask
+	ReasonPartialView                     // members that may hold the flow may be missing
+	ReasonOverloaded                      // every member has more requests waiting than it can answer in time
+	ReasonPlacementLimit                  // too many members have turned the flow away
+	reasonsCount            = iota
 )
 
 var reasonNames = [reasonsCount]string{
@@ -77,8 +77,8 @@
 	Service view.ServiceID
 	// Hops is the number of members that have returned the segment.
 	Hops uint8
-	// Informed is set where the member is remembered, not searched for.
-	Informed bool
+	// OwnerKnown is set where the member is remembered, not searched for.
+	OwnerKnown bool
 }
 
 // Balancer decides about the segments of callers. It is safe for concurrent use.
@@ -101,29 +101,29 @@
 // Table returns what is in force.
 func (b *Balancer) Table() *Table { return b.table.Load() }
 
-// Adopt puts a table in force. One goroutine calls it.
-func (b *Balancer) Adopt(t *Table) {
+// SetTable puts a table in force. One goroutine calls it.
+func (b *Balancer) SetTable(t *Table) {
 	b.table.Store(t)
 	b.loads.keep(t)
 }
 
-// Confirm notes that the configuration in force is known to have been current.
-func (b *Balancer) Confirm() { b.current.Store(true) }
+// ConfirmConfig notes that the configuration in force is known to have been current.
+func (b *Balancer) ConfirmConfig() { b.current.Store(true) }
 
-// Current reports whether the configuration was known to be current once.
-func (b *Balancer) Current() bool { return b.current.Load() }
+// IsConfigConfirmed reports whether the configuration was known to be current once.
+func (b *Balancer) IsConfigConfirmed() bool { return b.current.Load() }
 
-// Flows returns the number of flows whose member is remembered.
-func (b *Balancer) Flows() int { return b.owners.count() }
+// CachedFlows returns the number of flows whose member is remembered.
+func (b *Balancer) CachedFlows() int { return b.owners.count() }
 
 // Steer decides about a segment that has come from a caller.
 func (b *Balancer) Steer(now time.Duration, s *Segment) Decision {
 	t := b.table.Load()
-	if !t.Routed(s.Tuple.Service) {
+	if !t.HasRoute(s.Tuple.Service) {
 		return b.unrouted(s)
 	}
 	id := s.Tuple.ID()
-	if s.Opens() {
+	if s.OpensFlow() {
 		return b.open(now, t, s, id)
 	}
 	if o, ok := b.owners.get(now, id); ok {
@@ -137,17 +137,17 @@
 
 // remembered sends a segment where its flow is known to be.
 func remembered(m *member) Decision {
-	return Decision{Verdict: Forward, Reason: Remembered, To: m.peer, Service: m.service, Informed: true}
+	return Decision{Verdict: Forward, Reason: ReasonCachedOwner, To: m.peer, Service: m.service, OwnerKnown: true}
 }
 
 func (b *Balancer) unrouted(s *Segment) Decision {
 	switch {
-	case !b.Current():
-		return Decision{Verdict: Drop, Reason: NotCurrent}
-	case s.Has(RST):
-		return Decision{Verdict: Drop, Reason: NoRoute}
+	case !b.IsConfigConfirmed():
+		return Decision{Verdict: Drop, Reason: ReasonConfigUnconfirmed}
+	case s.HasFlags(RST):
+		return Decision{Verdict: Drop, Reason: ReasonNoRoute}
 	}
-	return Decision{Verdict: Reset, Reason: NoRoute}
+	return Decision{Verdict: Reset, Reason: ReasonNoRoute}
 }
 
 // open places a new flow. A copy of a SYN goes where the first went if that
@@ -161,7 +161,7 @@
 	switch {
 	case m == nil:
 		return b.place(now, t, s, id, 0)
-	case o.confirmed || s.Copy <= o.copies:
+	case o.confirmed || s.Retransmits <= o.copies:
 		return remembered(m)
 	}
 	b.loads.suspect(now, m)
@@ -177,17 +177,17 @@
 func (b *Balancer) place(now time.Duration, t *Table, s *Segment, id flow.ID, hops uint8) Decision {
 	service, ok := choosePortion(id.Key, t.routes[s.Tuple.Service])
 	if !ok {
-		return Decision{Verdict: Reset, Reason: NoMember}
+		return Decision{Verdict: Reset, Reason: ReasonNoMember}
 	}
-	if b.loads.full(now, t.members[service], s.Copy) {
-		return Decision{Verdict: Drop, Reason: Full}
+	if b.loads.full(now, t.members[service], s.Retransmits) {
+		return Decision{Verdict: Drop, Reason: ReasonOverloaded}
 	}
 	m := b.loads.choose(now, t.firstTaking(id.Key, service), b.zone)
 	if m == nil {
 		return b.noMember(t, service)
 	}
-	b.owners.set(now, id, owner{service: m.service, seed: m.peer.Seed, copies: s.Copy})
-	return Decision{Verdict: Forward, Reason: Placed, To: m.peer, Service: m.service, Hops: hops}
+	b.owners.set(now, id, owner{service: m.service, seed: m.peer.Seed, copies: s.Retransmits})
+	return Decision{Verdict: Forward, Reason: ReasonPlaced, To: m.peer, Service: m.service, Hops: hops}
 }
 
 // noMember answers a new flow that no known member takes. Where members may be
@@ -195,12 +195,12 @@
 // tries within milliseconds.
 func (b *Balancer) noMember(t *Table, service view.ServiceID) Decision {
 	switch {
-	case !b.Current():
-		return Decision{Verdict: Drop, Reason: NotCurrent}
+	case !b.IsConfigConfirmed():
+		return Decision{Verdict: Drop, Reason: ReasonConfigUnconfirmed}
 	case !t.knows(service):
-		return Decision{Verdict: Drop, Reason: ViewPartial}
+		return Decision{Verdict: Drop, Reason: ReasonPartialView}
 	}
-	return Decision{Verdict: Reset, Reason: NoMember}
+	return Decision{Verdict: Reset, Reason: ReasonNoMember}
 }
 
 // search sends a segment to the member that is asked next. denied is the seed of
@@ -215,39 +215,39 @@
 	}
 	switch {
 	case next.member != nil:
-		return Decision{Verdict: Forward, Reason: Searched, To: next.member.peer, Service: next.member.service, Hops: next.hops}
-	case !b.Current():
-		return Decision{Verdict: Drop, Reason: NotCurrent}
+		return Decision{Verdict: Forward, Reason: ReasonSearched, To: next.member.peer, Service: next.member.service, Hops: next.hops}
+	case !b.IsConfigConfirmed():
+		return Decision{Verdict: Drop, Reason: ReasonConfigUnconfirmed}
 	case !t.whole(id.Key, s.Tuple.Service):
-		return Decision{Verdict: Drop, Reason: ViewPartial}
+		return Decision{Verdict: Drop, Reason: ReasonPartialView}
 	case !next.complete:
-		return Decision{Verdict: Drop, Reason: Unanswered}
+		return Decision{Verdict: Drop, Reason: ReasonProbeTimeout}
 	case bounded:
-		return Decision{Verdict: Drop, Reason: SearchBound}
-	case s.Has(RST):
-		return Decision{Verdict: Drop, Reason: NotHeld}
+		return Decision{Verdict: Drop, Reason: ReasonSearchLimit}
+	case s.HasFlags(RST):
+		return Decision{Verdict: Drop, Reason: ReasonFlowNotFound}
 	}
-	return Decision{Verdict: Reset, Reason: NotHeld}
+	return Decision{Verdict: Reset, Reason: ReasonFlowNotFound}
 }
 
-// Overdue returns the flows that are searched for and whose last question is not
+// OverdueSearches returns the flows that are searched for and whose last question is not
 // answered in time. Steer goes on with the search, for a segment that is repeated.
-func (b *Balancer) Overdue(now time.Duration) []flow.ID { return b.searches.overdue(now) }
+func (b *Balancer) OverdueSearches(now time.Duration) []flow.ID { return b.searches.overdue(now) }
 
-// Return is how a segment came back from a member.
-type Return struct {
+// ReturnInfo is how a segment came back from a member.
+type ReturnInfo struct {
 	Service view.ServiceID
 	Seed    uint64
 	// Hops is that of the decision that sent it there.
 	Hops uint8
-	// Ended is set where the flow was at a backend server that has ended.
-	Ended bool
+	// BackendDown is set where the flow was at a backend server that has ended.
+	BackendDown bool
 }
 
-// Returned decides about a segment that a member has returned.
-func (b *Balancer) Returned(now time.Duration, s *Segment, r Return) Decision {
+// HandleReturn decides about a segment that a member has returned.
+func (b *Balancer) HandleReturn(now time.Duration, s *Segment, r ReturnInfo) Decision {
 	t := b.table.Load()
-	if !t.Routed(s.Tuple.Service) {
+	if !t.HasRoute(s.Tuple.Service) {
 		return b.unrouted(s)
 	}
 	id := s.Tuple.ID()
@@ -256,41 +256,41 @@
 	switch {
 	case known && o.seed == r.Seed:
 		b.owners.drop(id)
-	case known && !s.Opens():
+	case known && !s.OpensFlow():
 		// The flow was found meanwhile.
 		if m := t.find(o.service, o.seed); m != nil {
 			return remembered(m)
 		}
 	}
-	if s.Opens() {
+	if s.OpensFlow() {
 		return b.turnedAway(now, t, s, id, r)
 	}
-	if r.Ended && !s.Has(RST) {
-		return Decision{Verdict: Reset, Reason: HostEnded}
+	if r.BackendDown && !s.HasFlags(RST) {
+		return Decision{Verdict: Reset, Reason: ReasonBackendDown}
 	}
 	return b.search(now, t, s, id, r.Seed)
 }
 
 // turnedAway places a new flow that a member does not take on another one.
-func (b *Balancer) turnedAway(now time.Duration, t *Table, s *Segment, id flow.ID, r Return) Decision {
+func (b *Balancer) turnedAway(now time.Duration, t *Table, s *Segment, id flow.ID, r ReturnInfo) Decision {
 	if m := t.find(r.Service, r.Seed); m != nil {
 		b.loads.suspect(now, m)
 	}
 	if r.Hops+1 >= maxPlacements {
-		return Decision{Verdict: Reset, Reason: PlaceBound}
+		return Decision{Verdict: Reset, Reason: ReasonPlacementLimit}
 	}
 	return b.place(now, t, s, id, r.Hops+1)
 }
 
-// Held notes that a member's host has said that it holds a flow.
-func (b *Balancer) Held(now time.Duration, id flow.ID, service view.ServiceID, seed uint64) {
+// ConfirmOwner notes that a member's host has said that it holds a flow.
+func (b *Balancer) ConfirmOwner(now time.Duration, id flow.ID, service view.ServiceID, seed uint64) {
 	b.owners.set(now, id, owner{service: service, seed: seed, confirmed: true})
 	b.searches.end(id)
 	b.loads.held(service, seed)
 }
 
-// Report takes a member's report of its load.
-func (b *Balancer) Report(now time.Duration, service view.ServiceID, seed uint64, load Load) {
+// ReportLoad takes a member's report of its load.
+func (b *Balancer) ReportLoad(now time.Duration, service view.ServiceID, seed uint64, load Load) {
 	if m := b.table.Load().find(service, seed); m != nil {
 		b.loads.report(now, m, load)
 	}
--- a/core/steer/balancer_test.go
+++ b/core/steer/balancer_test.go
@@ -39,9 +39,9 @@
 // newBalancer returns a balancer whose address leads to desk with members.
 func newBalancer(members ...view.BackendServer) *Balancer {
 	b := NewBalancer("a")
-	b.Adopt(b.Table().WithRoutes(Routes{address: {{Service: desk, Weight: 1}}}).
+	b.SetTable(b.Table().WithRoutes(Routes{address: {{Service: desk, Weight: 1}}}).
 		WithView(0, view.New(desk, view.Version{Epoch: 1, Number: 1}, members)))
-	b.Confirm()
+	b.ConfirmConfig()
 	return b
 }
 
@@ -62,7 +62,7 @@
 	last = b.Steer(testAge, s)
 	for last.Verdict == Forward {
 		asked[last.To]++
-		last = b.Returned(testAge, s, Return{
+		last = b.HandleReturn(testAge, s, ReturnInfo{
 			Service: last.Service, Seed: last.To.Seed, Hops: last.Hops,
 		})
 	}
@@ -80,7 +80,7 @@
 		questions := 1
 		for found.To != placed.To {
 			questions++
-			found = finding.Returned(testAge, data(n), Return{Service: desk, Seed: found.To.Seed, Hops: found.Hops})
+			found = finding.HandleReturn(testAge, data(n), ReturnInfo{Service: desk, Seed: found.To.Seed, Hops: found.Hops})
 		}
 		is.True(questions <= choices)
 	}
@@ -90,7 +90,7 @@
 	is := is.New(t)
 	asked, last := returnAll(newBalancer(servers(1, 7)...), data(1))
 	is.Equal(len(asked), 7)
-	is.Equal(last, Decision{Verdict: Reset, Reason: NotHeld})
+	is.Equal(last, Decision{Verdict: Reset, Reason: ReasonFlowNotFound})
 }
 
 func TestPartialViewResetsNothing(t *testing.T) {
@@ -98,11 +98,11 @@
 	b := newBalancer()
 	v := view.New(desk, view.Version{Epoch: 2, Number: 1}, servers(1, 2))
 	v.Partial = true
-	b.Adopt(b.Table().WithView(testAge, v))
+	b.SetTable(b.Table().WithView(testAge, v))
 	_, last := returnAll(b, data(1))
-	is.Equal(last, Decision{Verdict: Drop, Reason: ViewPartial})
+	is.Equal(last, Decision{Verdict: Drop, Reason: ReasonPartialView})
 	whole := view.New(desk, view.Version{Epoch: 2, Number: 2}, servers(1, 2))
-	b.Adopt(b.Table().WithView(testAge, whole))
+	b.SetTable(b.Table().WithView(testAge, whole))
 	_, last = returnAll(b, data(1))
 	is.Equal(last.Verdict, Reset)
 }
@@ -114,7 +114,7 @@
 	asked, _ := returnAll(newBalancer(server(1), server(2), gone), data(1))
 	is.Equal(len(asked), 3)
 	b := newBalancer(servers(1, 3)...)
-	b.Adopt(b.Table().WithView(testAge, view.New(desk, view.Version{Epoch: 1, Number: 2}, servers(1, 2))))
+	b.SetTable(b.Table().WithView(testAge, view.New(desk, view.Version{Epoch: 1, Number: 2}, servers(1, 2))))
 	asked, _ = returnAll(b, data(1))
 	is.Equal(len(asked), 3)
 }
@@ -124,7 +124,7 @@
 	b := newBalancer(servers(1, 3)...)
 	other := server(9)
 	other.Packets = server(3).Packets
-	b.Adopt(b.Table().WithView(testAge, view.New(hall, view.Version{Epoch: 1, Number: 2}, []view.BackendServer{other})))
+	b.SetTable(b.Table().WithView(testAge, view.New(hall, view.Version{Epoch: 1, Number: 2}, []view.BackendServer{other})))
 	asked, _ := returnAll(b, data(1))
 	is.Equal(len(asked), 2)
 }
@@ -132,7 +132,7 @@
 func TestFlowsOfAnEarlierRouteAreAskedForAtItsService(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer(servers(1, 2)...)
-	b.Adopt(b.Table().WithView(0, view.New(hall, view.Version{Epoch: 1, Number: 2}, servers(5, 6))).
+	b.SetTable(b.Table().WithView(0, view.New(hall, view.Version{Epoch: 1, Number: 2}, servers(5, 6))).
 		WithRoutes(Routes{address: {{Service: desk}, {Service: hall, Weight: 1}}}))
 	asked, last := returnAll(b, data(1))
 	is.Equal(len(asked), 4)
@@ -154,12 +154,12 @@
 	asked := map[flow.Peer]bool{dead: true}
 	for next.Verdict == Forward {
 		asked[next.To] = true
-		next = b.Returned(testAge+210*time.Millisecond, data(1), Return{Service: desk, Seed: next.To.Seed})
+		next = b.HandleReturn(testAge+210*time.Millisecond, data(1), ReturnInfo{Service: desk, Seed: next.To.Seed})
 	}
 	is.Equal(len(asked), 4)
-	is.Equal(next, Decision{Verdict: Drop, Reason: Unanswered})
+	is.Equal(next, Decision{Verdict: Drop, Reason: ReasonProbeTimeout})
 	// Once it is heard, it is asked in its order again.
-	b.Report(testAge+220*time.Millisecond, desk, dead.Seed, Load{})
+	b.ReportLoad(testAge+220*time.Millisecond, desk, dead.Seed, Load{})
 	is.Equal(b.Steer(testAge+220*time.Millisecond, data(1)).To, dead)
 }
 
@@ -168,20 +168,20 @@
 	b := newBalancer(servers(1, 3)...)
 	first := b.Steer(testAge, data(1))
 	is.Equal(b.Steer(testAge, data(1)).To, first.To)
-	second := b.Returned(testAge, data(1), Return{Service: desk, Seed: first.To.Seed})
+	second := b.HandleReturn(testAge, data(1), ReturnInfo{Service: desk, Seed: first.To.Seed})
 	is.True(second.To != first.To)
 	// The other segment comes back from the first member as well.
-	is.Equal(b.Returned(testAge, data(1), Return{Service: desk, Seed: first.To.Seed}).To, second.To)
-	b.Held(testAge, tuple(1).ID(), desk, second.To.Seed)
-	late := b.Returned(testAge, data(1), Return{Service: desk, Seed: first.To.Seed})
+	is.Equal(b.HandleReturn(testAge, data(1), ReturnInfo{Service: desk, Seed: first.To.Seed}).To, second.To)
+	b.ConfirmOwner(testAge, tuple(1).ID(), desk, second.To.Seed)
+	late := b.HandleReturn(testAge, data(1), ReturnInfo{Service: desk, Seed: first.To.Seed})
 	is.Equal(late.To, second.To)
-	is.Equal(late.Reason, Remembered)
+	is.Equal(late.Reason, ReasonCachedOwner)
 }
 
 func TestMembersThatHaveLeftAreAskedLast(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer(servers(1, 4)...)
-	b.Adopt(b.Table().WithView(testAge, view.New(desk, view.Version{Epoch: 1, Number: 2}, servers(2, 4))))
+	b.SetTable(b.Table().WithView(testAge, view.New(desk, view.Version{Epoch: 1, Number: 2}, servers(2, 4))))
 	for n := range 50 {
 		is.True(b.Steer(testAge, data(n)).To.Seed != view.SeedOf("host-1"))
 	}
@@ -193,11 +193,11 @@
 		b := newBalancer(servers(1, 4)...)
 		first := b.Steer(testAge, syn(1))
 		again := syn(1)
-		again.Copy = 1
+		again.Retransmits = 1
 		second := b.Steer(testAge, again)
 		is.True(second.To != first.To)
-		b.Held(testAge, tuple(1).ID(), desk, second.To.Seed)
-		again.Copy = 2
+		b.ConfirmOwner(testAge, tuple(1).ID(), desk, second.To.Seed)
+		again.Retransmits = 2
 		is.Equal(b.Steer(testAge, again).To, second.To)
 		is.Equal(b.Steer(testAge, data(1)).To, second.To)
 	})
@@ -205,7 +205,7 @@
 		is := is.New(t)
 		b := newBalancer(servers(1, 3)...)
 		first := b.Steer(testAge, syn(1))
-		next := b.Returned(testAge, syn(1), Return{Service: desk, Seed: first.To.Seed})
+		next := b.HandleReturn(testAge, syn(1), ReturnInfo{Service: desk, Seed: first.To.Seed})
 		is.True(next.To != first.To)
 		for n := range 20 {
 			is.True(b.Steer(testAge, syn(10+n)).To != first.To)
@@ -214,28 +214,28 @@
 	t.Run("without members and routes they are reset at once", func(t *testing.T) {
 		is := is.New(t)
 		b := newBalancer()
-		is.Equal(b.Steer(testAge, syn(1)), Decision{Verdict: Reset, Reason: NoMember})
+		is.Equal(b.Steer(testAge, syn(1)), Decision{Verdict: Reset, Reason: ReasonNoMember})
 		stranger := syn(1)
 		stranger.Tuple.Service = netip.MustParseAddrPort("198.18.0.9:80")
-		is.Equal(b.Steer(testAge, stranger), Decision{Verdict: Reset, Reason: NoRoute})
+		is.Equal(b.Steer(testAge, stranger), Decision{Verdict: Reset, Reason: ReasonNoRoute})
 	})
 	t.Run("they wait for members while a view is missing or partial", func(t *testing.T) {
 		is := is.New(t)
 		b := NewBalancer("a")
-		b.Adopt(b.Table().WithRoutes(Routes{address: {{Service: desk, Weight: 1}}}))
-		b.Confirm()
-		is.Equal(b.Steer(testAge, syn(1)), Decision{Verdict: Drop, Reason: ViewPartial})
+		b.SetTable(b.Table().WithRoutes(Routes{address: {{Service: desk, Weight: 1}}}))
+		b.ConfirmConfig()
+		is.Equal(b.Steer(testAge, syn(1)), Decision{Verdict: Drop, Reason: ReasonPartialView})
 		v := view.New(desk, view.Version{Epoch: 2, Number: 1}, nil)
 		v.Partial = true
-		b.Adopt(b.Table().WithView(testAge, v))
-		is.Equal(b.Steer(testAge, syn(1)), Decision{Verdict: Drop, Reason: ViewPartial})
-		b.Adopt(b.Table().WithView(testAge, view.New(desk, view.Version{Epoch: 2, Number: 2}, servers(1, 1))))
+		b.SetTable(b.Table().WithView(testAge, v))
+		is.Equal(b.Steer(testAge, syn(1)), Decision{Verdict: Drop, Reason: ReasonPartialView})
+		b.SetTable(b.Table().WithView(testAge, view.New(desk, view.Version{Epoch: 2, Number: 2}, servers(1, 1))))
 		is.Equal(b.Steer(testAge, syn(1)).Verdict, Forward)
 	})
 	t.Run("nothing is reset before the configuration is current", func(t *testing.T) {
 		is := is.New(t)
 		b := NewBalancer("a")
-		is.Equal(b.Steer(testAge, syn(1)), Decision{Verdict: Drop, Reason: NotCurrent})
+		is.Equal(b.Steer(testAge, syn(1)), Decision{Verdict: Drop, Reason: ReasonConfigUnconfirmed})
 	})
 }
 
@@ -243,7 +243,7 @@
 	is := is.New(t)
 	b := newBalancer(servers(1, 3)...)
 	busy := view.SeedOf("host-2")
-	b.Report(testAge, desk, busy, Load{Flows: 30, Running: 12})
+	b.ReportLoad(testAge, desk, busy, Load{Flows: 30, RunningRequests: 12})
 	for n := range 20 {
 		is.True(b.Steer(testAge, syn(n)).To.Seed != busy)
 	}
@@ -252,13 +252,13 @@
 func TestSYNsWaitForTheirNextCopyWhileEveryMemberIsFull(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer(servers(1, 2)...)
-	full := Load{Running: 4*fullAt/10 + 1}
-	b.Report(testAge, desk, view.SeedOf("host-1"), full)
+	full := Load{RunningRequests: 4*fullAt/10 + 1}
+	b.ReportLoad(testAge, desk, view.SeedOf("host-1"), full)
 	is.Equal(b.Steer(testAge, syn(1)).Verdict, Forward) // the other has room
-	b.Report(testAge, desk, view.SeedOf("host-2"), full)
+	b.ReportLoad(testAge, desk, view.SeedOf("host-2"), full)
 	again := syn(2)
-	for again.Copy = range uint32(3) {
-		is.Equal(b.Steer(testAge, again), Decision{Verdict: Drop, Reason: Full})
+	for again.Retransmits = range uint32(3) {
+		is.Equal(b.Steer(testAge, again), Decision{Verdict: Drop, Reason: ReasonOverloaded})
 	}
 	is.Equal(b.Steer(testAge, data(1)).Verdict, Forward) // open flows go on
 	// Agents tell nothing to a balancer that sends nothing: what they told last
@@ -271,11 +271,11 @@
 	is := is.New(t)
 	b := newBalancer(server(1))
 	again := syn(1)
-	again.Copy = 1
-	b.Report(testAge, desk, view.SeedOf("host-1"), Load{Running: 4})
-	is.Equal(b.Steer(testAge, again), Decision{Verdict: Drop, Reason: Full})
+	again.Retransmits = 1
+	b.ReportLoad(testAge, desk, view.SeedOf("host-1"), Load{RunningRequests: 4})
+	is.Equal(b.Steer(testAge, again), Decision{Verdict: Drop, Reason: ReasonOverloaded})
 	is.Equal(b.Steer(testAge, syn(2)).Verdict, Forward)
-	b.Report(testAge+placedTime+1, desk, view.SeedOf("host-1"), Load{Running: 3})
+	b.ReportLoad(testAge+placedTime+1, desk, view.SeedOf("host-1"), Load{RunningRequests: 3})
 	is.Equal(b.Steer(testAge+placedTime+1, again).Verdict, Forward)
 }
 
@@ -299,17 +299,17 @@
 	b := newBalancer(servers(1, 3)...)
 	s := data(1)
 	first := b.Steer(testAge, s)
-	is.Equal(first.Reason, Searched)
-	is.Equal(len(b.Overdue(testAge+answerTime)), 0)
+	is.Equal(first.Reason, ReasonSearched)
+	is.Equal(len(b.OverdueSearches(testAge+answerTime)), 0)
 	late := testAge + answerTime + 1
-	is.Equal(b.Overdue(late), []flow.ID{s.Tuple.ID()})
+	is.Equal(b.OverdueSearches(late), []flow.ID{s.Tuple.ID()})
 	second := b.Steer(late, s)
 	is.Equal(second.Verdict, Forward)
 	is.True(second.To != first.To)
-	is.Equal(len(b.Overdue(late)), 0) // it awaits the second now
+	is.Equal(len(b.OverdueSearches(late)), 0) // it awaits the second now
 
-	b.Held(late, s.Tuple.ID(), desk, second.To.Seed)
-	is.Equal(len(b.Overdue(late+time.Second)), 0)
+	b.ConfirmOwner(late, s.Tuple.ID(), desk, second.To.Seed)
+	is.Equal(len(b.OverdueSearches(late+time.Second)), 0)
 	is.Equal(b.Steer(late+time.Second, s).To, second.To) // it was found meanwhile
 }
 
@@ -322,11 +322,11 @@
 	now := testAge
 	for range 3 {
 		now += answerTime + 1
-		is.Equal(len(b.Overdue(now)), 1)
+		is.Equal(len(b.OverdueSearches(now)), 1)
 		last = b.Steer(now, s)
 	}
-	is.Equal(last, Decision{Verdict: Drop, Reason: Unanswered})
-	is.Equal(len(b.Overdue(now+time.Second)), 0)
+	is.Equal(last, Decision{Verdict: Drop, Reason: ReasonProbeTimeout})
+	is.Equal(len(b.OverdueSearches(now+time.Second)), 0)
 }
 
 // Members whose leases have ended may hold flows, but hardly answer.
@@ -351,7 +351,7 @@
 	for n := range 1000 {
 		b.Steer(testAge, data(n))
 	}
-	is.Equal(len(b.Overdue(testAge+answerTime+1)), maxOverdue)
+	is.Equal(len(b.OverdueSearches(testAge+answerTime+1)), maxOverdue)
 }
 
 // The report that comes with the answer to a SYN counts the flow already.
@@ -360,11 +360,11 @@
 	b := newBalancer(server(1))
 	seed := view.SeedOf("host-1")
 	again := syn(50)
-	again.Copy = 1 // finds a place where fewer requests than the four slots are counted
+	again.Retransmits = 1 // finds a place where fewer requests than the four slots are counted
 	for n := range 3 {
 		is.Equal(b.Steer(testAge, syn(n)).Verdict, Forward)
-		b.Report(testAge, desk, seed, Load{Flows: uint32(n + 1), Running: uint32(n + 1)})
-		b.Held(testAge, syn(n).Tuple.ID(), desk, seed)
+		b.ReportLoad(testAge, desk, seed, Load{Flows: uint32(n + 1), RunningRequests: uint32(n + 1)})
+		b.ConfirmOwner(testAge, syn(n).Tuple.ID(), desk, seed)
 	}
 	is.Equal(b.Steer(testAge, again).Verdict, Forward)
 }
--- a/core/steer/loads.go
+++ b/core/steer/loads.go
@@ -13,8 +13,8 @@
 type Load struct {
 	// Flows is the number of open flows.
 	Flows uint32 `cbor:"1,keyasint"`
-	// Running is the number of requests that wait for their answer.
-	Running uint32 `cbor:"2,keyasint"`
+	// RunningRequests is the number of requests that wait for their answer.
+	RunningRequests uint32 `cbor:"2,keyasint"`
 }
 
 const (
@@ -198,7 +198,7 @@
 		}
 		taking = true
 		found := l.of(m)
-		if (int(found.newest(now).Running)+found.recent(now))*10 < int(m.slots)*limit {
+		if (int(found.newest(now).RunningRequests)+found.recent(now))*10 < int(m.slots)*limit {
 			return false
 		}
 	}
@@ -229,6 +229,6 @@
 // cost returns the load of one slot at full weight, in thousandths of a request.
 func (f *memberLoad) cost(now time.Duration, m *member) uint64 {
 	report := f.newest(now)
-	total := uint64(report.Flows)*flowCost + (uint64(report.Running)+uint64(f.recent(now)))*requestCost
+	total := uint64(report.Flows)*flowCost + (uint64(report.RunningRequests)+uint64(f.recent(now)))*requestCost
 	return total * view.FullWeight / (uint64(m.slots) * uint64(max(m.weight, 1)))
 }
--- a/core/steer/segment.go
+++ b/core/steer/segment.go
@@ -32,17 +32,17 @@
 	Flags Flags
 	// Seq and Ack are the sequence numbers of the sender's and the peer's bytes.
 	Seq, Ack uint32
-	// Copy counts the earlier copies of a SYN; 0 for the first.
-	Copy uint32
+	// Retransmits counts the earlier copies of a SYN; 0 for the first.
+	Retransmits uint32
 	// Length is the number of bytes that the segment carries.
 	Length int
 }
 
-// Has reports whether every one of flags is set.
-func (s *Segment) Has(flags Flags) bool { return s.Flags&flags == flags }
+// HasFlags reports whether every one of flags is set.
+func (s *Segment) HasFlags(flags Flags) bool { return s.Flags&flags == flags }
 
-// Opens reports whether the segment asks for a new flow.
-func (s *Segment) Opens() bool { return s.Flags&(SYN|ACK) == SYN }
+// OpensFlow reports whether the segment asks for a new flow.
+func (s *Segment) OpensFlow() bool { return s.Flags&(SYN|ACK) == SYN }
 
-// MaxFlowAge is the longest that a flow lives.
-const MaxFlowAge = 60 * time.Second
+// MaxFlowLifetime is the longest that a flow lives.
+const MaxFlowLifetime = 60 * time.Second
--- a/core/steer/surge_test.go
+++ b/core/steer/surge_test.go
@@ -87,7 +87,7 @@
 		s.pending = slices.Delete(s.pending, i, i+1)
 		for ; nextReport <= a.at; nextReport += surgeReport {
 			for seed := range s.free {
-				s.report(nextReport, seed, Load{Running: uint32(s.running(seed, nextReport))})
+				s.report(nextReport, seed, Load{RunningRequests: uint32(s.running(seed, nextReport))})
 			}
 		}
 		s.try(a)
@@ -107,7 +107,7 @@
 		return
 	}
 	segment := syn(a.n + a.tries*len(s.first))
-	segment.Copy = a.copy
+	segment.Retransmits = a.copy
 	d := s.policy(a.at, segment)
 	to := d.To
 	switch {
@@ -169,14 +169,14 @@
 	for seed := range uint64(5) {
 		naive, paced := newSurge(seed), newSurge(seed)
 		placing := newBalancer(servers(1, surgeServers)...)
-		naive.report = func(now time.Duration, seed uint64, load Load) { placing.Report(now, desk, seed, load) }
+		naive.report = func(now time.Duration, seed uint64, load Load) { placing.ReportLoad(now, desk, seed, load) }
 		naive.policy = func(now time.Duration, s *Segment) Decision {
 			first := placing.Table().firstTaking(s.Tuple.ID().Key, desk)
 			return Decision{To: placing.loads.choose(now, first, "a").peer}
 		}
 		naive.play()
 		steering := newBalancer(servers(1, surgeServers)...)
-		paced.report = func(now time.Duration, seed uint64, load Load) { steering.Report(now, desk, seed, load) }
+		paced.report = func(now time.Duration, seed uint64, load Load) { steering.ReportLoad(now, desk, seed, load) }
 		paced.policy = steering.Steer
 		paced.play()
 		t.Logf("seed %d: of %d callers placed at once %d in time, %d at all, %d fresh; paced %d, %d and %d",
--- a/core/steer/table.go
+++ b/core/steer/table.go
@@ -12,15 +12,15 @@
 	"fulmarmount.org/core/view"
 )
 
-// Portion is a service's share of the new flows of an address. A service of
+// WeightedService is a service's share of the new flows of an address. A service of
 // weight 0 gets none and may hold flows from before.
-type Portion struct {
+type WeightedService struct {
 	Service view.ServiceID
 	Weight  uint32
 }
 
 // Routes maps the addresses that callers use to the services behind them.
-type Routes map[netip.AddrPort][]Portion
+type Routes map[netip.AddrPort][]WeightedService
 
 // member is a backend server that may hold flows.
 type member struct {
@@ -79,7 +79,7 @@
 		}
 		list = append(list, member{
 			peer: flow.PeerOf(v, i), service: v.Service, id: b.ID, zone: b.Zone,
-			weight: b.Weight, slots: max(b.Slots, 1), takes: b.TakesNew(), gone: b.State == view.Gone,
+			weight: b.Weight, slots: max(b.Slots, 1), takes: b.AcceptsNewFlows(), gone: b.State == view.Gone,
 		})
 	}
 	for id, members := range t.members {
@@ -104,22 +104,22 @@
 			m.left = now
 		}
 		m.takes = false
-		if now-m.left < MaxFlowAge {
+		if now-m.left < MaxFlowLifetime {
 			out = append(out, m)
 		}
 	}
 	return out
 }
 
-// Routed reports whether an address leads to a service.
-func (t *Table) Routed(addr netip.AddrPort) bool { return len(t.routes[addr]) > 0 }
+// HasRoute reports whether an address leads to a service.
+func (t *Table) HasRoute(addr netip.AddrPort) bool { return len(t.routes[addr]) > 0 }
 
-// Routes returns the number of addresses.
-func (t *Table) Routes() int { return len(t.routes) }
+// RouteCount returns the number of addresses.
+func (t *Table) RouteCount() int { return len(t.routes) }
 
-// Available returns the number of members that take new flows of the services
+// AvailableMembers returns the number of members that take new flows of the services
 // behind an address.
-func (t *Table) Available(addr netip.AddrPort) int {
+func (t *Table) AvailableMembers(addr netip.AddrPort) int {
 	n := 0
 	for _, p := range t.routes[addr] {
 		for i := range t.members[p.Service] {
@@ -150,7 +150,7 @@
 }
 
 // choosePortion returns the service of a new flow. All balancers choose alike.
-func choosePortion(key uint64, portions []Portion) (view.ServiceID, bool) {
+func choosePortion(key uint64, portions []WeightedService) (view.ServiceID, bool) {
 	var total uint64
 	for _, p := range portions {
 		total += uint64(p.Weight)
--- a/core/view/example_test.go
+++ b/core/view/example_test.go
@@ -16,7 +16,7 @@
 	fmt.Println(late.Newer(inForce.Version))
 	for i := range inForce.Members {
 		m := &inForce.Members[i]
-		fmt.Println(m.ID, m.State, m.TakesNew())
+		fmt.Println(m.ID, m.State, m.AcceptsNewFlows())
 	}
 	// Output:
 	// false
--- a/core/view/view.go
+++ b/core/view/view.go
@@ -87,18 +87,18 @@
 	Slots uint16 `cbor:"8,keyasint"`
 }
 
-// TakesNew reports whether new flows may be placed on b.
-func (b *BackendServer) TakesNew() bool {
+// AcceptsNewFlows reports whether new flows may be placed on b.
+func (b *BackendServer) AcceptsNewFlows() bool {
 	return b.Weight > 0 && (b.State == Warming || b.State == Ready)
 }
 
-// Stays reports whether b has been serving for a while and still is, so that it
+// IsStable reports whether b has been serving for a while and still is, so that it
 // holds what it was told under earlier versions.
-func (b *BackendServer) Stays() bool { return b.State == Ready || b.State == Draining }
+func (b *BackendServer) IsStable() bool { return b.State == Ready || b.State == Draining }
 
 // PlacementWeight returns Weight where b takes new flows, else 0.
 func (b *BackendServer) PlacementWeight() uint32 {
-	if b.TakesNew() {
+	if b.AcceptsNewFlows() {
 		return b.Weight
 	}
 	return 0
@@ -113,7 +113,7 @@
 	// Earlier holds the placement weights of recent versions, newest first. A
 	// process that starts or skips versions learns from it where the flows of
 	// those versions were placed.
-	Earlier []Past `cbor:"4,keyasint,omitempty"`
+	Earlier []EarlierWeights `cbor:"4,keyasint,omitempty"`
 	// Partial is set while members that exist may not have announced themselves
 	// to the control leader yet. What is not in the view may still be there.
 	Partial bool `cbor:"5,keyasint,omitempty"`
@@ -124,8 +124,8 @@
 	resting bool
 }
 
-// Past is the placement weights of an earlier version of a view.
-type Past struct {
+// EarlierWeights is the placement weights of an earlier version of a view.
+type EarlierWeights struct {
 	Version Version `cbor:"1,keyasint"`
 	// Weights has one entry per member of the current view, in its order. A
 	// member that took no new flows under Version has 0.
@@ -191,28 +191,28 @@
 	}
 }
 
-// Resting reports whether no member takes new flows. Targets then lists the
+// IsDrainOnly reports whether no member takes new flows. Targets then lists the
 // draining members, which keep their flows.
-func (v *View) Resting() bool { return v.resting }
+func (v *View) IsDrainOnly() bool { return v.resting }
 
 // Targets returns the members that flows are placed on. Treat it as read-only.
 func (v *View) Targets() []Target { return v.targets }
 
-// PastTargets returns the members that took new flows under Earlier[i].
-func (v *View) PastTargets(i int) []Target { return v.past[i] }
+// EarlierTargets returns the members that took new flows under Earlier[i].
+func (v *View) EarlierTargets(i int) []Target { return v.past[i] }
 
 // SeedOf returns the hash seed of the backend server with the given ID.
 func SeedOf(id string) uint64 { return xxhash.Sum64String(id) }
 
-// FindSeed returns the index of the member with the given hash seed, or -1.
-func (v *View) FindSeed(seed uint64) int { return slices.Index(v.seeds, seed) }
+// IndexOfSeed returns the index of the member with the given hash seed, or -1.
+func (v *View) IndexOfSeed(seed uint64) int { return slices.Index(v.seeds, seed) }
 
 // Seed returns the hash seed of member i. It depends on the ID alone, so a
 // restart does not move flows.
 func (v *View) Seed(i int) uint64 { return v.seeds[i] }
 
-// Find returns the index of the member with the given ID, or -1.
-func (v *View) Find(id string) int {
+// IndexOf returns the index of the member with the given ID, or -1.
+func (v *View) IndexOf(id string) int {
 	i, ok := slices.BinarySearchFunc(v.Members, id, func(b BackendServer, id string) int {
 		return cmp.Compare(b.ID, id)
 	})
@@ -243,15 +243,15 @@
 	Load uint32 `cbor:"11,keyasint"`
 	// TTL is the lease asked for.
 	TTL time.Duration `cbor:"12,keyasint"`
-	// Holds is the newest view version the agent has adopted, zero if none.
-	Holds Version `cbor:"13,keyasint"`
+	// AdoptedVersion is the newest view version the agent has adopted, zero if none.
+	AdoptedVersion Version `cbor:"13,keyasint"`
 	// Flows is the number of flows the agent owns.
 	Flows uint32 `cbor:"14,keyasint"`
-	// Authoritative is set where the backend server itself knows its flows, so
+	// BackendTracksFlows is set where the backend server itself knows its flows, so
 	// that it may take new ones before its agent has adopted a view.
-	Authoritative bool `cbor:"15,keyasint,omitempty"`
-	// Ended is set where the backend server has ended, and its flows with it.
-	Ended bool `cbor:"16,keyasint,omitempty"`
+	BackendTracksFlows bool `cbor:"15,keyasint,omitempty"`
+	// BackendDown is set where the backend server has ended, and its flows with it.
+	BackendDown bool `cbor:"16,keyasint,omitempty"`
 }
 
 // Load is the number of flows that an agent owned when it announced itself.
--- a/core/view/view_test.go
+++ b/core/view/view_test.go
@@ -16,7 +16,7 @@
 func TestFindUsesSortedMembers(t *testing.T) {
 	is := is.New(t)
 	v := New(1, Version{1, 1}, []BackendServer{{ID: "b"}, {ID: "a"}})
-	is.Equal(v.Find("a"), 0)
-	is.Equal(v.Find("b"), 1)
-	is.Equal(v.Find("c"), -1)
+	is.Equal(v.IndexOf("a"), 0)
+	is.Equal(v.IndexOf("b"), 1)
+	is.Equal(v.IndexOf("c"), -1)
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -208,7 +208,7 @@
 	for i := range v.Members {
 		m := &v.Members[i]
 		weight := 0.0
-		if m.TakesNew() {
+		if m.AcceptsNewFlows() {
 			weight = float64(m.Weight) / view.FullWeight
 		}
 		hosts = append(hosts, admission.Host{ID: m.ID, Zone: m.Zone, Slots: max(1, int(m.Slots)), Weight: weight})
@@ -268,7 +268,7 @@
 	if s.view == nil {
 		return netip.AddrPort{}
 	}
-	if i := s.view.Find(id); i >= 0 {
+	if i := s.view.IndexOf(id); i >= 0 {
 		return s.view.Members[i].Requests
 	}
 	return netip.AddrPort{}
@@ -292,7 +292,7 @@
 	if !ok {
 		return attempt.Target{}, false
 	}
-	return attempt.Target{Server: id, Incarnation: s.view.Members[s.view.Find(id)].Incarnation}, true
+	return attempt.Target{Server: id, Incarnation: s.view.Members[s.view.IndexOf(id)].Incarnation}, true
 }
 
 // home returns the agent that decides on a key.
--- a/internal/role/agent/agent.go
+++ b/internal/role/agent/agent.go
@@ -221,7 +221,7 @@
 
 // noteState reads the backend server's own state from its service's view.
 func (a *Agent) noteState(v *view.View) {
-	if i := v.Find(a.options.ID); i >= 0 {
+	if i := v.IndexOf(a.options.ID); i >= 0 {
 		a.limits.setState(v.Members[i].State, a.options.Now())
 	}
 }
--- a/internal/role/agent/announce.go
+++ b/internal/role/agent/announce.go
@@ -41,17 +41,17 @@
 		holds = v.Version
 	}
 	return view.Announcement{
-		Service:     a.options.Service,
-		ID:          a.options.ID,
-		Zone:        a.options.Zone,
-		Incarnation: a.options.Incarnation,
-		Packets:     a.envelopes.Addr(),
-		Requests:    a.server.Addr(),
-		Slots:       a.options.Slots,
-		Healthy:     true,
-		Draining:    a.draining.Load(),
-		Sequence:    sequence,
-		Holds:       holds,
-		Flows:       uint32(a.owner.flows.Flows()),
+		Service:        a.options.Service,
+		ID:             a.options.ID,
+		Zone:           a.options.Zone,
+		Incarnation:    a.options.Incarnation,
+		Packets:        a.envelopes.Addr(),
+		Requests:       a.server.Addr(),
+		Slots:          a.options.Slots,
+		Healthy:        true,
+		Draining:       a.draining.Load(),
+		Sequence:       sequence,
+		AdoptedVersion: holds,
+		Flows:          uint32(a.owner.flows.Flows()),
 	}
 }
--- a/internal/role/agent/dump.go
+++ b/internal/role/agent/dump.go
@@ -78,7 +78,7 @@
 
 		Draining:       a.draining.Load(),
 		Holdings:       a.owner.holdings(a.options.ID),
-		Unacknowledged: a.owner.pusher.Unacknowledged(),
+		Unacknowledged: a.owner.pusher.UnacknowledgedPointers(),
 		Decisions:      a.owner.flows.Stats(),
 		Dropped:        a.owner.flows.Stats().Refused.ByName(),
 		Pushes:         a.owner.pusher.Stats(),
@@ -98,7 +98,7 @@
 		if h.Owner.Seed == o.self.Seed {
 			name = self
 		} else if v != nil {
-			if i := v.FindSeed(h.Owner.Seed); i >= 0 {
+			if i := v.IndexOfSeed(h.Owner.Seed); i >= 0 {
 				name = v.Members[i].ID
 			}
 		}
--- a/internal/role/agent/owner.go
+++ b/internal/role/agent/owner.go
@@ -47,8 +47,8 @@
 	return owner{
 		self:  self,
 		flows: flows,
-		pusher: locator.New(locator.Options{
-			Self: self, Flows: flows, BatchSize: batchPointers, BatchesPerTick: batchesPerPush, RefreshEvery: refreshEvery,
+		pusher: locator.NewPusher(locator.Options{
+			Self: self, Flows: flows, BatchSize: batchPointers, BatchesPerTick: batchesPerPush, RefreshInterval: refreshEvery,
 		}),
 		now:     o.Now,
 		started: o.Now(),
@@ -78,10 +78,10 @@
 	id := p.Tuple.ID()
 	action := o.flows.Receive(o.elapsed(), p)
 	if action.Opened {
-		o.pusher.Opened(id)
+		o.pusher.AddFlow(id)
 	}
 	if !action.Tell.IsZero() {
-		o.pusher.Tell(action.Tell, action.Owner, id)
+		o.pusher.QueueAnswer(action.Tell, action.Owner, id)
 	}
 	return action
 }
--- a/internal/role/agent/pointers.go
+++ b/internal/role/agent/pointers.go
@@ -73,6 +73,6 @@
 		}
 	case o.Ack != nil:
 		a.owner.flows.Heard(o.Ack.From)
-		a.owner.pusher.Acked(*o.Ack)
+		a.owner.pusher.HandleAck(*o.Ack)
 	}
 }
--- a/internal/role/agent/succession.go
+++ b/internal/role/agent/succession.go
@@ -138,7 +138,7 @@
 		return errSuccession.Wrap(err, "open the socket at %s", s.Local)
 	}
 	o.received(time.Unix(0, s.Seen), s.ReplyTo)
-	a.owner.pusher.Opened(o.id)
+	a.owner.pusher.AddFlow(o.id)
 	service := view.ServiceID(a.service.Load())
 	a.tasks.Go(func() { a.readBackend(o, service) })
 	return nil
--- a/internal/role/balancer/table.go
+++ b/internal/role/balancer/table.go
@@ -132,7 +132,7 @@
 	n := 0
 	if v := t.views[id]; v != nil {
 		for i := range v.Members {
-			if v.Members[i].TakesNew() {
+			if v.Members[i].AcceptsNewFlows() {
 				n++
 			}
 		}
--- a/internal/segment/agent.go
+++ b/internal/segment/agent.go
@@ -41,7 +41,7 @@
 // Agent is the running agent role beside one backend server.
 type Agent struct {
 	options  AgentOptions
-	host     *steer.Host
+	host     *steer.Agent
 	outbound *udp.Conn
 	*envelopes
 	counts    *counters
@@ -82,7 +82,7 @@
 		options: o, outbound: outbound, envelopes: sockets, counts: counts, started: o.Now(), pool: newPool(o.Common), asked: newTimes(),
 		changed: make(chan struct{}, 1), balancers: newBalancers(),
 	}
-	a.host = steer.NewHost(0, steer.HostOptions{Patience: o.Patience, Idle: o.IdleTimeout})
+	a.host = steer.NewAgent(0, steer.AgentOptions{SilenceTimeout: o.Patience, IdleTimeout: o.IdleTimeout})
 	a.ctx, a.cancel = context.WithCancel(context.Background())
 	if o.Service != "" {
 		a.subscribe(o.Service)
@@ -163,16 +163,16 @@
 	}
 	now := a.elapsed()
 	a.balancers.heard(now, h.ReplyTo)
-	arrival := steer.Arrival{
-		Service: h.Flow.Service, Position: h.Flow.Ballot.Version, Run: h.Flow.Target, Balancer: h.ReplyTo,
-		Hops: h.Flow.Hops, Informed: h.Flow.Informed,
+	arrival := steer.ForwardInfo{
+		Service: h.Flow.Service, ConfigVersion: h.Flow.Ballot.Version, Incarnation: h.Flow.Target, Balancer: h.ReplyTo,
+		Hops: h.Flow.Hops, OwnerKnown: h.Flow.Informed,
 	}
 	decision := a.host.Receive(now, &segment.Segment, arrival)
-	if decision.Refusal != steer.NoRefusal {
+	if decision.Refusal != steer.RefusalNone {
 		a.sendBack(&segment.Segment, arrival, decision.Refusal, payload)
 		return
 	}
-	if decision.Tell {
+	if decision.NotifyBalancer {
 		a.tell(h.ReplyTo, segment.Tuple)
 	}
 	a.deliver(now, &segment.Segment, decision.Token, payload)
@@ -186,10 +186,10 @@
 		return
 	}
 	a.delivered.Add(1)
-	if s.Opens() {
+	if s.OpensFlow() {
 		a.options.Log.Info("Handed over a new flow.",
 			zap.Stringer("caller", s.Tuple.Caller), zap.Stringer("address", s.Tuple.Service), zap.Uint32("seq", s.Seq),
-			zap.Uint32("copy", s.Copy), zap.Uint32("running", a.host.Load().Running))
+			zap.Uint32("copy", s.Retransmits), zap.Uint32("running", a.host.Load().RunningRequests))
 	}
 	if s.Length > 0 {
 		a.asked.put(now, s.Tuple.ID())
@@ -197,16 +197,16 @@
 }
 
 // sendBack returns a segment to the balancer that sent it.
-func (a *Agent) sendBack(s *steer.Segment, arrival steer.Arrival, why steer.Refusal, payload []byte) {
+func (a *Agent) sendBack(s *steer.Segment, arrival steer.ForwardInfo, why steer.Refusal, payload []byte) {
 	a.sentBack.Add(1)
 	a.options.Log.Info("Returned a segment.",
-		zap.Stringer("caller", s.Tuple.Caller), zap.Stringer("address", s.Tuple.Service), zap.Bool("opens", s.Opens()),
+		zap.Stringer("caller", s.Tuple.Caller), zap.Stringer("address", s.Tuple.Service), zap.Bool("opens", s.OpensFlow()),
 		zap.Uint32("seq", s.Seq), zap.Stringer("refusal", why), zap.Stringer("balancer", arrival.Balancer), zap.Uint8("hops", arrival.Hops))
 	a.send(arrival.Balancer, &packet.Header{
 		Kind: packet.Returned, ReplyTo: a.conn.Addr(),
 		Flow: flow.Packet{
-			Service: arrival.Service, Tuple: s.Tuple, Hops: arrival.Hops, Informed: arrival.Informed,
-			Answer: why == steer.Ended, Denied: [flow.MaxDenied]uint64{a.seed()}, Denials: 1,
+			Service: arrival.Service, Tuple: s.Tuple, Hops: arrival.Hops, Informed: arrival.OwnerKnown,
+			Answer: why == steer.RefusalBackendDown, Denied: [flow.MaxDenied]uint64{a.seed()}, Denials: 1,
 		},
 	}, payload)
 }
@@ -246,19 +246,19 @@
 // bounce returns what the backend server does not take.
 func (a *Agent) bounce(h *Header, payload []byte) {
 	a.bounced.Add(1)
-	arrival, ok := a.host.Bounced(&h.Segment, h.Token)
+	arrival, ok := a.host.HandleBounce(&h.Segment, h.Token)
 	if !ok {
 		a.options.Log.Warn("Dropped a bounced packet of unknown arrival.", zap.Stringer("caller", h.Tuple.Caller))
 		return
 	}
 	a.options.Codec.Restore(payload)
-	a.sendBack(&h.Segment, arrival, steer.Unknown, payload)
+	a.sendBack(&h.Segment, arrival, steer.RefusalUnknownFlow, payload)
 }
 
 // reply sends a packet of the backend server to its caller.
 func (a *Agent) reply(s *steer.Segment, payload []byte) {
 	now := a.elapsed()
-	if balancer := a.host.Sent(now, s); balancer.IsValid() {
+	if balancer := a.host.ObserveReply(now, s); balancer.IsValid() {
 		a.tell(balancer, s.Tuple)
 	}
 	if s.Length > 0 {
@@ -279,7 +279,7 @@
 func (a *Agent) tick() {
 	now := a.elapsed()
 	if a.host.Tick(now) {
-		a.options.Log.Warn("Backend server has ended: it is silent or has left.", zap.Stringer("standing", a.host.Standing()))
+		a.options.Log.Warn("Backend server has ended: it is silent or has left.", zap.Stringer("standing", a.host.State()))
 		a.kick()
 	}
 	n := a.note(false)
--- a/internal/segment/announce.go
+++ b/internal/segment/announce.go
@@ -34,13 +34,13 @@
 	if i.Run > known.Run {
 		a.begin(i)
 	}
-	standing := steer.Serving
+	standing := steer.BackendServing
 	if i.Draining {
-		standing = steer.Draining
+		standing = steer.BackendDraining
 	}
 	changed := i.Run != known.Run || i.Draining != known.Draining || i.Slots != known.Slots
 	a.instance, a.serial = i, 0
-	a.host.SetStanding(standing)
+	a.host.SetState(standing)
 	a.reports.Add(1)
 	if changed {
 		a.options.Log.Info("Backend server's standing changed.", zap.String("id", i.ID), zap.String("service", i.Service),
@@ -53,11 +53,11 @@
 // begin notes a new run of the backend server. The caller holds the lock.
 func (a *Agent) begin(i Instance) {
 	first := a.instance.Run == 0 && i.Sequence > 1
-	a.host.Begin(view.Incarnation(i.Run), first)
+	a.host.StartIncarnation(view.Incarnation(i.Run), first)
 	if i.Service != a.options.Service {
 		a.options.Log.Warn("Backend server serves another service.", zap.String("service", i.Service), zap.String("before", a.options.Service))
 		a.options.Service, a.service = i.Service, 0
-		a.host.ForgetService()
+		a.host.ClearService()
 		a.subscribe(i.Service)
 	}
 }
@@ -70,8 +70,8 @@
 		a.options.Log.Info("Ignored the goodbye of another backend server.", zap.String("id", id))
 		return
 	}
-	a.host.SetStanding(steer.Left)
-	a.options.Log.Info("Backend server's standing changed.", zap.String("id", id), zap.Stringer("standing", steer.Left))
+	a.host.SetState(steer.BackendDeregistered)
+	a.options.Log.Info("Backend server's standing changed.", zap.String("id", id), zap.Stringer("standing", steer.BackendDeregistered))
 	a.kick()
 }
 
@@ -114,11 +114,11 @@
 	}
 	a.serial++
 	load := a.host.Load()
-	ended := a.host.Ended()
+	ended := a.host.IsDown()
 	return view.Announcement{
 		Service: a.instance.Service, ID: a.instance.ID, Zone: a.options.Zone,
 		Incarnation: view.Incarnation(a.instance.Run), Packets: a.conn.Addr(), Requests: a.conn.Addr(),
 		Slots: a.instance.Slots, Draining: a.instance.Draining || ended, Healthy: !ended,
-		Sequence: a.instance.Sequence<<serialBits + a.serial, Load: load.Running, Flows: load.Flows, Authoritative: true, Ended: ended,
+		Sequence: a.instance.Sequence<<serialBits + a.serial, Load: load.RunningRequests, Flows: load.Flows, BackendTracksFlows: true, BackendDown: ended,
 	}, true
 }
--- a/internal/segment/balancer.go
+++ b/internal/segment/balancer.go
@@ -120,7 +120,7 @@
 func (b *Balancer) elapsed() time.Duration { return b.options.Now().Sub(b.started) }
 
 // Ready reports whether callers may be sent here.
-func (b *Balancer) Ready() bool { return b.steer.Current() && !b.leaving.Load() }
+func (b *Balancer) Ready() bool { return b.steer.IsConfigConfirmed() && !b.leaving.Load() }
 
 // Stop goes on for LeaveTime while it is not ready, then closes the sockets.
 func (b *Balancer) Stop(ctx context.Context) error {
@@ -137,10 +137,10 @@
 }
 
 func (b *Balancer) confirmed(asOf time.Time) {
-	if !b.steer.Current() {
+	if !b.steer.IsConfigConfirmed() {
 		b.options.Log.Info("Configuration is current.", zap.Time("as_of", asOf))
 	}
-	b.steer.Confirm()
+	b.steer.ConfirmConfig()
 }
 
 // adopt puts an update in force.
@@ -149,14 +149,14 @@
 	if len(u.Services) > 0 || len(u.Removed) > 0 {
 		b.setServices(u)
 		t = t.WithRoutes(b.routes())
-		b.options.Log.Info("Adopted a configuration.", zap.Int("addresses", t.Routes()))
+		b.options.Log.Info("Adopted a configuration.", zap.Int("addresses", t.RouteCount()))
 	}
 	for _, v := range u.Views {
 		t = t.WithView(now, v)
 		b.options.Log.Info("Adopted a view.", zap.Uint32("service", uint32(v.Service)),
 			zap.Stringer("version", v.Version), zap.Int("members", len(v.Members)), zap.Int("targets", len(v.Targets())))
 	}
-	b.steer.Adopt(t)
+	b.steer.SetTable(t)
 }
 
 func (b *Balancer) setServices(u proto.Update) {
@@ -176,7 +176,7 @@
 	routes := make(steer.Routes)
 	for _, s := range b.services {
 		for _, in := range s.Inbound {
-			routes[in.Addr] = insertPortion(routes[in.Addr], steer.Portion{Service: s.ID, Weight: in.Weight})
+			routes[in.Addr] = insertPortion(routes[in.Addr], steer.WeightedService{Service: s.ID, Weight: in.Weight})
 		}
 	}
 	return routes
@@ -184,12 +184,12 @@
 
 // insertPortion keeps portions in the order of their services, so that all
 // balancers choose alike.
-func insertPortion(list []steer.Portion, p steer.Portion) []steer.Portion {
+func insertPortion(list []steer.WeightedService, p steer.WeightedService) []steer.WeightedService {
 	i := len(list)
 	for i > 0 && list[i-1].Service > p.Service {
 		i--
 	}
-	list = append(list, steer.Portion{})
+	list = append(list, steer.WeightedService{})
 	copy(list[i+1:], list[i:])
 	list[i] = p
 	return list
@@ -217,7 +217,7 @@
 func (b *Balancer) resume() {
 	now := b.elapsed()
 	b.kept.sweep(now)
-	for _, id := range b.steer.Overdue(now) {
+	for _, id := range b.steer.OverdueSearches(now) {
 		packet := b.kept.get(id)
 		if packet == nil {
 			continue
@@ -252,8 +252,8 @@
 	}
 	b.decisions.returned.Add(1)
 	now := b.elapsed()
-	decision := b.steer.Returned(now, &segment.Segment, steer.Return{
-		Service: h.Flow.Service, Seed: h.Flow.Denied[0], Hops: h.Flow.Hops, Ended: h.Flow.Answer,
+	decision := b.steer.HandleReturn(now, &segment.Segment, steer.ReturnInfo{
+		Service: h.Flow.Service, Seed: h.Flow.Denied[0], Hops: h.Flow.Hops, BackendDown: h.Flow.Answer,
 	})
 	b.carryOut(now, &segment.Segment, decision, payload)
 }
@@ -267,12 +267,12 @@
 	}
 	b.decisions.notes.Add(1)
 	now := b.elapsed()
-	b.steer.Report(now, n.Service, n.Seed, n.Load)
+	b.steer.ReportLoad(now, n.Service, n.Seed, n.Load)
 	if !n.Held {
 		return
 	}
 	id := h.Flow.Tuple.ID()
-	b.steer.Held(now, id, n.Service, n.Seed)
+	b.steer.ConfirmOwner(now, id, n.Service, n.Seed)
 	b.kept.drop(id)
 	if at, ok := b.placed.take(id); ok {
 		b.placing.Add(now - at)
@@ -285,9 +285,9 @@
 	switch d.Verdict {
 	case steer.Forward:
 		switch {
-		case d.Reason == steer.Placed && s.Copy == 0:
+		case d.Reason == steer.ReasonPlaced && s.Retransmits == 0:
 			b.placed.put(now, s.Tuple.ID())
-		case d.Reason == steer.Searched:
+		case d.Reason == steer.ReasonSearched:
 			b.kept.put(now, s.Tuple.ID(), payload)
 		}
 		b.forward(s, d, payload)
@@ -305,7 +305,7 @@
 		Kind: packet.Forward, ReplyTo: b.conn.Addr(),
 		Flow: flow.Packet{
 			Service: d.Service, Ballot: flow.Ballot{Version: b.position(d.Service)}, Target: d.To.Incarnation,
-			Tuple: s.Tuple, Hops: d.Hops, Informed: d.Informed,
+			Tuple: s.Tuple, Hops: d.Hops, Informed: d.OwnerKnown,
 		},
 	}, payload)
 }
@@ -321,7 +321,7 @@
 
 // logDecision writes one line for each decision that is not a repetition.
 func (b *Balancer) logDecision(s *steer.Segment, d steer.Decision) {
-	if d.Reason == steer.Remembered {
+	if d.Reason == steer.ReasonCachedOwner {
 		return
 	}
 	to := zap.Skip()
@@ -330,7 +330,7 @@
 	}
 	b.options.Log.Info(decisionText[d.Verdict],
 		zap.Stringer("caller", s.Tuple.Caller), zap.Stringer("address", s.Tuple.Service),
-		zap.Bool("opens", s.Opens()), zap.Uint32("seq", s.Seq), zap.Uint32("copy", s.Copy), zap.Stringer("reason", d.Reason),
+		zap.Bool("opens", s.OpensFlow()), zap.Uint32("seq", s.Seq), zap.Uint32("copy", s.Retransmits), zap.Stringer("reason", d.Reason),
 		to, zap.Uint8("hops", d.Hops))
 }
 
@@ -341,4 +341,4 @@
 }
 
 // Available returns how many backend servers take new flows of an address.
-func (b *Balancer) Available(addr netip.AddrPort) int { return b.steer.Table().Available(addr) }
+func (b *Balancer) Available(addr netip.AddrPort) int { return b.steer.Table().AvailableMembers(addr) }
--- a/internal/segment/dump.go
+++ b/internal/segment/dump.go
@@ -34,7 +34,7 @@
 	return BalancerCounters{
 		Decisions: b.decisions.byName(), Returned: b.decisions.returned.Load(), Resets: b.decisions.resets.Load(),
 		Notes: b.decisions.notes.Load(), Failed: b.counts.failed.Load(), Refused: b.counts.refused.Load(),
-		Garbled: b.counts.garbled.Load(), Flows: b.steer.Flows(), Placing: b.placing.Summary(),
+		Garbled: b.counts.garbled.Load(), Flows: b.steer.CachedFlows(), Placing: b.placing.Summary(),
 	}
 }
 
@@ -52,7 +52,7 @@
 	a.mu.Lock()
 	d := AgentDump{Instance: a.instance, Service: a.service}
 	a.mu.Unlock()
-	d.Standing, d.Ended, d.Counters = a.host.Standing().String(), a.host.Ended(), a.Counters()
+	d.Standing, d.Ended, d.Counters = a.host.State().String(), a.host.IsDown(), a.Counters()
 	return d
 }
 
@@ -63,6 +63,6 @@
 		Delivered: a.delivered.Load(), Replied: a.replied.Load(), Returned: a.sentBack.Load(), Bounced: a.bounced.Load(),
 		Reports: a.reports.Load(), Failed: a.counts.failed.Load(),
 		Refused: a.counts.refused.Load(), Garbled: a.counts.garbled.Load(),
-		Flows: load.Flows, Running: load.Running, Answering: a.answering.Summary(),
+		Flows: load.Flows, Running: load.RunningRequests, Answering: a.answering.Summary(),
 	}
 }
--- a/internal/segment/report_test.go
+++ b/internal/segment/report_test.go
@@ -23,7 +23,7 @@
 		for i := range n {
 			b.heard(now, balancerAddr(i))
 		}
-		for _, balancer := range b.due(now, steer.Load{Running: uint32(now / tickInterval)}) {
+		for _, balancer := range b.due(now, steer.Load{RunningRequests: uint32(now / tickInterval)}) {
 			told[balancer]++
 		}
 	}
--- a/internal/segment/segment_test.go
+++ b/internal/segment/segment_test.go
@@ -96,7 +96,7 @@
 	defer h.mu.Unlock()
 	in, _ := codec{}.Decode(b, segment.FromCaller)
 	switch {
-	case in.Opens():
+	case in.OpensFlow():
 		h.flows[in.Tuple] = true
 		return encode(in.Tuple, steer.SYN|steer.ACK, "")
 	case h.flows[in.Tuple]:
--- a/tools/capacity/measure_flow.go
+++ b/tools/capacity/measure_flow.go
@@ -130,7 +130,7 @@
 	all := serviceView(0, hostsPerService, view.Version{Epoch: 1, Number: 2})
 	for _, flows := range []int{40, 400, 1_300, 13_000} {
 		a, self := agentOf(without, flows)
-		p := locator.New(locator.Options{Self: self, Flows: a})
+		p := locator.NewPusher(locator.Options{Self: self, Flows: a})
 		p.SetView(0, without)
 		drain(p, 0)
 		p.SetView(time.Second, all)
@@ -152,7 +152,7 @@
 			b, err := cbor.Marshal(m.Batch)
 			must(err)
 			bytes += len(b)
-			p.Acked(locator.Ack{Sequence: m.Batch.Sequence, From: m.To})
+			p.HandleAck(locator.Ack{Sequence: m.Batch.Sequence, From: m.To})
 		}
 		now += time.Millisecond
 	}
