--- a/core/attempt/attempt.go
+++ b/core/attempt/attempt.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// GrantBound is the longest time a Claim may take. The gateway does not use a
+// GrantTimeout is the longest time a Claim may take. The gateway does not use a
 // later grant, and the home of a key relies on that.
-const GrantBound = time.Second
+const GrantTimeout = time.Second
 
 // Config describes one request and how it is handled.
 type Config struct {
@@ -17,20 +17,20 @@
 	Repeatable bool
 	// Deadline ends the attempt. No send starts after it.
 	Deadline time.Time
-	// Silence is how long an agent may say nothing before it is asked what
+	// SettleAfter is how long an agent may say nothing before it is asked what
 	// became of the attempt.
-	Silence time.Duration
-	// Stall is how long a body may stand still.
-	Stall time.Duration
-	// Answer is how long a Settle, Claim or Refuse may take.
-	Answer time.Duration
+	SettleAfter time.Duration
+	// StallTimeout is how long a body may stand still.
+	StallTimeout time.Duration
+	// ReplyTimeout is how long a Settle, Claim or Refuse may take.
+	ReplyTimeout time.Duration
 	// HedgeAfter is when a second copy of a repeatable request is sent; 0
 	// sends none.
 	HedgeAfter time.Duration
 	// MaxSends bounds the sends of one request, the first included.
 	MaxSends int
 	// Retries is the service's budget for sends after the first.
-	Retries Retries
+	Retries RetryLimiter
 }
 
 type phase uint8
@@ -71,9 +71,9 @@
 	validator string
 }
 
-// Attempt is the life of one request at a gateway. A request that is not
+// Coordinator is the life of one request at a gateway. A request that is not
 // repeatable has at most one ID that may run at any time.
-type Attempt struct {
+type Coordinator struct {
 	cfg      Config
 	phase    phase
 	received time.Time
@@ -83,7 +83,7 @@
 	sends    int
 	tried    []string
 	// current is the ID that holds or asks for the key, or was sent last.
-	current Holder
+	current Assignment
 	// fenced is the proven dead attempt that still holds the key.
 	fenced ID
 	// foreign is set while current belongs to an earlier send of the key.
@@ -107,15 +107,15 @@
 const maxFetches = 4
 
 // New returns an attempt that waits for Start.
-func New(cfg Config) *Attempt { return &Attempt{cfg: cfg} }
+func New(cfg Config) *Coordinator { return &Coordinator{cfg: cfg} }
 
 // Finished reports whether the attempt has ended.
-func (a *Attempt) Finished() bool { return a.phase == phaseFinished }
+func (a *Coordinator) Finished() bool { return a.phase == phaseFinished }
 
 // Step applies one input and returns what is to be done, in order. The slice is
 // valid until the next call. Inputs of streams that are no longer of interest
 // are dropped.
-func (a *Attempt) Step(now time.Time, in Input) []Action {
+func (a *Coordinator) Step(now time.Time, in Input) []Action {
 	a.out = a.out[:0]
 	if a.phase == phaseFinished {
 		return nil
@@ -140,14 +140,14 @@
 	return a.out
 }
 
-// Wake returns when the next Tick is due.
-func (a *Attempt) Wake() time.Time {
+// NextTick returns when the next Tick is due.
+func (a *Coordinator) NextTick() time.Time {
 	if a.phase == phaseRefusing {
-		return a.control.since.Add(a.cfg.Answer)
+		return a.control.since.Add(a.cfg.ReplyTimeout)
 	}
 	wake := a.cfg.Deadline
 	if a.phase == phaseClaiming {
-		wake = earlier(wake, a.control.since.Add(a.cfg.Answer))
+		wake = earlier(wake, a.control.since.Add(a.cfg.ReplyTimeout))
 	}
 	for i := range a.streams {
 		s := &a.streams[i]
@@ -166,19 +166,19 @@
 	return a
 }
 
-func (a *Attempt) emit(act Action) { a.out = append(a.out, act) }
+func (a *Coordinator) emit(act Action) { a.out = append(a.out, act) }
 
-func (a *Attempt) nextNum() uint32 {
+func (a *Coordinator) nextNum() uint32 {
 	a.lastNum++
 	return a.lastNum
 }
 
-func (a *Attempt) route() {
+func (a *Coordinator) route() {
 	a.phase = phaseRouting
 	a.emit(Route{Exclude: slices.Clone(a.tried)})
 }
 
-func (a *Attempt) routed(now time.Time, in Routed) {
+func (a *Coordinator) routed(now time.Time, in Routed) {
 	if a.phase != phaseRouting {
 		return
 	}
@@ -186,7 +186,7 @@
 		a.giveUp(now, ReasonDeadline)
 		return
 	}
-	a.current = Holder(in)
+	a.current = Assignment(in)
 	if a.cfg.Key != "" && !a.cfg.Repeatable {
 		a.claim(now)
 		return
@@ -194,7 +194,7 @@
 	a.send(now)
 }
 
-func (a *Attempt) claim(now time.Time) {
+func (a *Coordinator) claim(now time.Time) {
 	a.phase = phaseClaiming
 	a.control.num = a.nextNum()
 	a.control.since = now
@@ -204,7 +204,7 @@
 	})
 }
 
-func (a *Attempt) claimed(now time.Time, in Claimed) {
+func (a *Coordinator) claimed(now time.Time, in Claimed) {
 	if in.Stream != a.control.num {
 		return
 	}
@@ -217,20 +217,20 @@
 	}
 }
 
-func (a *Attempt) grantOrNot(now time.Time, in Claimed) {
+func (a *Coordinator) grantOrNot(now time.Time, in Claimed) {
 	switch in.Status {
 	case ClaimGranted:
 		a.fenced = a.current.ID
-		if now.Sub(a.control.since) >= GrantBound {
+		if now.Sub(a.control.since) >= GrantTimeout {
 			a.claim(now)
 			return
 		}
 		a.send(now)
 	case ClaimExists:
-		a.adopt(now, in.Holder)
+		a.adopt(now, in.Owner)
 	case ClaimMismatch:
 		a.finish(Result{Outcome: NotRun, Reason: ReasonKeyReused})
-	case ClaimHeldBack:
+	case ClaimFenced:
 		a.finish(Result{Outcome: NotRun, Reason: ReasonOverload, RetryAfter: in.RetryAfter})
 	case ClaimTooOld:
 		a.finish(Result{Outcome: Unknown, Reason: ReasonKeyTooOld})
@@ -242,13 +242,13 @@
 }
 
 // adopt turns to the attempt of an earlier send that holds the key.
-func (a *Attempt) adopt(now time.Time, h Holder) {
+func (a *Coordinator) adopt(now time.Time, h Assignment) {
 	a.current = h
 	a.foreign = true
 	a.settle(now, h)
 }
 
-func (a *Attempt) send(now time.Time) {
+func (a *Coordinator) send(now time.Time) {
 	if !now.Before(a.cfg.Deadline) {
 		a.giveUp(now, ReasonDeadline)
 		return
@@ -263,18 +263,18 @@
 	})
 }
 
-func (a *Attempt) settle(now time.Time, h Holder) {
+func (a *Coordinator) settle(now time.Time, h Assignment) {
 	s := a.open(now, kindSettle, h)
 	a.emit(Settle{Stream: s.num, ID: s.id, Target: s.target})
 }
 
-func (a *Attempt) fetch(now time.Time, h Holder) {
+func (a *Coordinator) fetch(now time.Time, h Assignment) {
 	a.fetches++
 	s := a.open(now, kindFetch, h)
 	a.emit(Fetch{Stream: s.num, ID: s.id, Target: s.target, Offset: a.answer.passed})
 }
 
-func (a *Attempt) open(now time.Time, kind streamKind, h Holder) *stream {
+func (a *Coordinator) open(now time.Time, kind streamKind, h Assignment) *stream {
 	a.phase = phaseWaiting
 	a.streams = append(a.streams, stream{
 		num: a.nextNum(), kind: kind, id: h.ID, target: h.Target, active: now,
@@ -282,7 +282,7 @@
 	return &a.streams[len(a.streams)-1]
 }
 
-func (a *Attempt) find(num uint32) *stream {
+func (a *Coordinator) find(num uint32) *stream {
 	for i := range a.streams {
 		if a.streams[i].num == num {
 			return &a.streams[i]
@@ -291,22 +291,22 @@
 	return nil
 }
 
-func (a *Attempt) has(id ID, kind streamKind) bool {
+func (a *Coordinator) has(id ID, kind streamKind) bool {
 	return slices.ContainsFunc(a.streams, func(s stream) bool { return s.id == id && s.kind == kind })
 }
 
 // forget removes a stream that has ended.
-func (a *Attempt) forget(num uint32) {
+func (a *Coordinator) forget(num uint32) {
 	a.streams = slices.DeleteFunc(a.streams, func(s stream) bool { return s.num == num })
 }
 
 // drop ends a stream and removes it.
-func (a *Attempt) drop(s stream) {
+func (a *Coordinator) drop(s stream) {
 	a.forget(s.num)
 	a.emit(Stop{Stream: s.num, Cancel: s.kind == kindSend && a.cfg.Repeatable})
 }
 
-func (a *Attempt) finish(r Result) {
+func (a *Coordinator) finish(r Result) {
 	gone := r.Reason == ReasonCancelled || r.Reason == ReasonDeadline
 	for _, s := range a.streams {
 		a.emit(Stop{Stream: s.num, Cancel: s.kind == kindSend && (gone || a.cfg.Repeatable)})
--- a/core/attempt/attempt_test.go
+++ b/core/attempt/attempt_test.go
@@ -24,7 +24,7 @@
 // script drives an attempt: it answers Route with a, then b, then nothing, and
 // fills the number of the latest stream into inputs.
 type script struct {
-	a      *Attempt
+	a      *Coordinator
 	now    time.Time
 	stream uint32
 	id     ID
@@ -55,7 +55,7 @@
 			s.stream, s.id, s.last = act.Stream, act.ID, "fetch"
 		case Claim:
 			s.stream, s.last = act.Stream, "claim"
-		case Refuse:
+		case FenceKey:
 			s.stream, s.last = act.Stream, "refuse"
 		case Finish:
 			s.result = &act.Result
@@ -71,7 +71,7 @@
 		return in
 	case NotSent:
 		return NotSent{s.stream}
-	case Refused:
+	case Rejected:
 		in.Stream = s.stream
 		return in
 	case Head:
@@ -100,7 +100,7 @@
 	whole := []step{{0, Head{Length: 4}}, {0, Body{N: 4}}, {0, End{Total: 4}}}
 	tagged := Head{Length: 4, Validator: "v"}
 	resumed := Head{Length: 4, Validator: "v", Offset: 2}
-	fetched := []step{{0, Settled{State: StateDone, Held: true}}}
+	fetched := []step{{0, Settled{State: StateDone, HasResponse: true}}}
 	tick := Tick{}
 	cat := func(s ...[]step) (out []step) {
 		for _, x := range s {
@@ -127,44 +127,44 @@
 		// The answer is lost, late, crossed or cut.
 		{"answer lost, fetched", "", false, cat([]step{{silence, tick}}, fetched, whole), Result{Outcome: Answered}, "a"},
 		{"connection reset, still running, fetched later", "", false, cat([]step{{0, Reset{}}, {0, Settled{State: StateRunning}}, {answer, tick}}, fetched, whole), Result{Outcome: Answered}, "a"},
-		{"answer lost and not held", "", false, []step{{0, Reset{}}, {0, Settled{State: StateDone}}}, Result{Outcome: Unknown, Reason: ReasonAnswerDropped}, "a"},
+		{"answer lost and not held", "", false, []step{{0, Reset{}}, {0, Settled{State: StateDone}}}, Result{Outcome: Unknown, Reason: ReasonResponseDropped}, "a"},
 		{"cut, rest fetched", "", false, cat([]step{{0, Head{Length: 4}}, {0, Body{N: 2}}, {0, Reset{}}}, fetched, []step{{0, Head{Length: 4, Offset: 2}}, {0, Body{N: 2}}, {0, End{Total: 4}}}), Result{Outcome: Answered}, "a"},
-		{"end before the length is reached", "", true, []step{{0, Head{Length: 4}}, {0, Body{N: 2}}, {0, End{Total: 2}}}, Result{Outcome: Unknown, Reason: ReasonLost, Abort: true}, "a"},
-		{"end without the last bytes", "", true, []step{{0, Head{Length: -1}}, {0, Body{N: 2}}, {0, End{Total: 4}}}, Result{Outcome: Unknown, Reason: ReasonLost, Abort: true}, "a"},
+		{"end before the length is reached", "", true, []step{{0, Head{Length: 4}}, {0, Body{N: 2}}, {0, End{Total: 2}}}, Result{Outcome: Unknown, Reason: ReasonAgentLost, Abort: true}, "a"},
+		{"end without the last bytes", "", true, []step{{0, Head{Length: -1}}, {0, Body{N: 2}}, {0, End{Total: 4}}}, Result{Outcome: Unknown, Reason: ReasonAgentLost, Abort: true}, "a"},
 		{"more than the length", "", true, []step{{0, Head{Length: 1}}, {0, Body{N: 2}}}, Result{Outcome: Unknown, Reason: ReasonTruncated, Abort: true}, "a"},
 		{"stalled, resumed elsewhere", "", true, []step{{0, tagged}, {0, Body{N: 2}}, {stall, tick}, {0, resumed}, {0, Body{N: 2}}, {0, End{Total: 4}}}, Result{Outcome: Answered}, "ab"},
 		{"stalled, other version elsewhere", "", true, []step{{0, tagged}, {0, Body{N: 2}}, {stall, tick}, {0, Head{Length: 4, Validator: "w", Offset: 2}}}, Result{Outcome: Unknown, Reason: ReasonNoServer, Abort: true}, "ab"},
 		{"slow caller is not a stall", "", true, []step{{0, Head{Length: 4}}, {stall / 2, Body{}}, {stall / 2, tick}, {0, Body{N: 4}}, {0, End{Total: 4}}}, Result{Outcome: Answered}, "a"},
 		{"crossed answer dropped", "", false, cat([]step{{0, Head{Length: 9, ID: testID(77)}}}, fetched, whole), Result{Outcome: Answered}, "a"},
 		// The agent refuses, restarts or forgets.
-		{"shed, elsewhere", "", false, cat([]step{{0, Refused{State: StateFenced}}}, whole), Result{Outcome: Answered}, "ab"},
-		{"shed everywhere", "", false, []step{{0, Refused{State: StateFenced}}, {0, Refused{State: StateFenced, RetryAfter: 5}}}, Result{Outcome: NotRun, Reason: ReasonNoServer}, "ab"},
-		{"shed here, lost there", "", false, []step{{0, Refused{State: StateFenced}}, {0, Reset{}}, {0, Settled{}}}, Result{Outcome: Unknown, Reason: ReasonLost}, "ab"},
-		{"agent restarted before the send", "", false, []step{{0, Refused{}}}, Result{Outcome: Unknown, Reason: ReasonLost}, "a"},
-		{"agent restarted midway", "", false, []step{{0, Reset{}}, {0, Settled{State: StateUnknown}}}, Result{Outcome: Unknown, Reason: ReasonLost}, "a"},
+		{"shed, elsewhere", "", false, cat([]step{{0, Rejected{State: StateFenced}}}, whole), Result{Outcome: Answered}, "ab"},
+		{"shed everywhere", "", false, []step{{0, Rejected{State: StateFenced}}, {0, Rejected{State: StateFenced, RetryAfter: 5}}}, Result{Outcome: NotRun, Reason: ReasonNoServer}, "ab"},
+		{"shed here, lost there", "", false, []step{{0, Rejected{State: StateFenced}}, {0, Reset{}}, {0, Settled{}}}, Result{Outcome: Unknown, Reason: ReasonAgentLost}, "ab"},
+		{"agent restarted before the send", "", false, []step{{0, Rejected{}}}, Result{Outcome: Unknown, Reason: ReasonAgentLost}, "a"},
+		{"agent restarted midway", "", false, []step{{0, Reset{}}, {0, Settled{State: StateUnknown}}}, Result{Outcome: Unknown, Reason: ReasonAgentLost}, "a"},
 		// The caller goes or the deadline passes.
 		{"cancelled", "", false, []step{{0, Cancel{}}}, Result{Outcome: Unknown, Reason: ReasonCancelled}, "a"},
 		{"deadline in the body", "", true, []step{{0, Head{Length: 4}}, {deadline, tick}}, Result{Outcome: Unknown, Reason: ReasonDeadline, Abort: true}, "a"},
 		// Keys.
 		{"claimed", "k", false, cat([]step{{0, Claimed{Status: ClaimGranted}}}, whole), Result{Outcome: Answered}, "a"},
 		{"claim lost, asked again", "k", false, cat([]step{{answer, tick}, {0, Claimed{Status: ClaimGranted}}}, whole), Result{Outcome: Answered}, "a"},
-		{"grant too late to use, then held back", "k", false, []step{{GrantBound, Claimed{Status: ClaimGranted}}, {0, Claimed{Status: ClaimHeldBack}}}, Result{Outcome: NotRun, Reason: ReasonOverload}, ""},
-		{"first answer again", "k", false, cat([]step{{0, Claimed{Status: ClaimExists, Holder: Holder{testID(9), tb}}}}, fetched, whole), Result{Outcome: Answered}, ""},
-		{"first send still running", "k", false, []step{{0, Claimed{Status: ClaimExists, Holder: Holder{testID(9), tb}}}, {0, Settled{State: StateRunning}}, {deadline, tick}}, Result{Outcome: Unknown, Reason: ReasonRunning}, ""},
-		{"first send's agent gone", "k", false, []step{{0, Claimed{Status: ClaimExists, Holder: Holder{testID(9), tb}}}, {0, Settled{}}}, Result{Outcome: Unknown, Reason: ReasonLost}, ""},
-		{"first send never ran", "k", false, cat([]step{{0, Claimed{Status: ClaimExists, Holder: Holder{testID(9), tb}}}, {0, Settled{State: StateFenced}}, {0, Claimed{Status: ClaimGranted}}}, whole), Result{Outcome: Answered}, "b"},
+		{"grant too late to use, then held back", "k", false, []step{{GrantTimeout, Claimed{Status: ClaimGranted}}, {0, Claimed{Status: ClaimFenced}}}, Result{Outcome: NotRun, Reason: ReasonOverload}, ""},
+		{"first answer again", "k", false, cat([]step{{0, Claimed{Status: ClaimExists, Owner: Assignment{testID(9), tb}}}}, fetched, whole), Result{Outcome: Answered}, ""},
+		{"first send still running", "k", false, []step{{0, Claimed{Status: ClaimExists, Owner: Assignment{testID(9), tb}}}, {0, Settled{State: StateRunning}}, {deadline, tick}}, Result{Outcome: Unknown, Reason: ReasonStillRunning}, ""},
+		{"first send's agent gone", "k", false, []step{{0, Claimed{Status: ClaimExists, Owner: Assignment{testID(9), tb}}}, {0, Settled{}}}, Result{Outcome: Unknown, Reason: ReasonAgentLost}, ""},
+		{"first send never ran", "k", false, cat([]step{{0, Claimed{Status: ClaimExists, Owner: Assignment{testID(9), tb}}}, {0, Settled{State: StateFenced}}, {0, Claimed{Status: ClaimGranted}}}, whole), Result{Outcome: Answered}, "b"},
 		{"holders gone", "k", false, []step{{0, Claimed{}}, {deadline, tick}}, Result{Outcome: Unknown, Reason: ReasonKeyUnavailable}, ""},
 		{"key of another request", "k", false, []step{{0, Claimed{Status: ClaimMismatch}}}, Result{Outcome: NotRun, Reason: ReasonKeyReused}, ""},
-		{"shed, said for the key", "k", false, []step{{0, Claimed{Status: ClaimGranted}}, {0, Refused{State: StateFenced}}, {0, Claimed{Status: ClaimGranted}}, {0, Refused{State: StateFenced}}, {0, Claimed{Status: ClaimHeldBack, RetryAfter: 7}}}, Result{Outcome: NotRun, Reason: ReasonNoServer, RetryAfter: 7}, "ab"},
+		{"shed, said for the key", "k", false, []step{{0, Claimed{Status: ClaimGranted}}, {0, Rejected{State: StateFenced}}, {0, Claimed{Status: ClaimGranted}}, {0, Rejected{State: StateFenced}}, {0, Claimed{Status: ClaimFenced, RetryAfter: 7}}}, Result{Outcome: NotRun, Reason: ReasonNoServer, RetryAfter: 7}, "ab"},
 		{"shed, key not told", "k", false, []step{{0, Claimed{Status: ClaimGranted}}, {0, NotSent{}}, {0, Claimed{Status: ClaimGranted}}, {0, NotSent{}}, {answer, tick}}, Result{Outcome: Unknown, Reason: ReasonKeyUnavailable}, "ab"},
-		{"shed, but an earlier send holds the key", "k", false, cat([]step{{0, Claimed{Status: ClaimGranted}}, {0, NotSent{}}, {0, Claimed{Status: ClaimGranted}}, {0, NotSent{}}, {0, Claimed{Status: ClaimExists, Holder: Holder{testID(9), tb}}}}, fetched, whole), Result{Outcome: Answered}, "ab"},
+		{"shed, but an earlier send holds the key", "k", false, cat([]step{{0, Claimed{Status: ClaimGranted}}, {0, NotSent{}}, {0, Claimed{Status: ClaimGranted}}, {0, NotSent{}}, {0, Claimed{Status: ClaimExists, Owner: Assignment{testID(9), tb}}}}, fetched, whole), Result{Outcome: Answered}, "ab"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			s := &script{now: t0, a: New(Config{
 				Key: tt.key, Repeatable: tt.repeatable, Deadline: t0.Add(deadline),
-				Silence: silence, Stall: stall, Answer: answer, MaxSends: 3, Retries: always{},
+				SettleAfter: silence, StallTimeout: stall, ReplyTimeout: answer, MaxSends: 3, Retries: always{},
 			})}
 			s.feed(Start{})
 			for i, st := range tt.steps {
@@ -192,13 +192,13 @@
 	budget.Deposit()
 	budget.Deposit()
 	s := &script{now: t0, a: New(Config{
-		Repeatable: true, Deadline: t0.Add(time.Minute), Silence: time.Second, Stall: time.Second,
-		Answer: time.Second, HedgeAfter: 100 * time.Millisecond, MaxSends: 3, Retries: budget,
+		Repeatable: true, Deadline: t0.Add(time.Minute), SettleAfter: time.Second, StallTimeout: time.Second,
+		ReplyTimeout: time.Second, HedgeAfter: 100 * time.Millisecond, MaxSends: 3, Retries: budget,
 	})}
 	s.feed(Start{})
 	first := s.stream
-	is.Equal(s.a.Wake(), t0.Add(100*time.Millisecond))
-	s.now = s.a.Wake()
+	is.Equal(s.a.NextTick(), t0.Add(100*time.Millisecond))
+	s.now = s.a.NextTick()
 	s.feed(Tick{})
 	is.Equal(len(s.sends), 2)
 	acts := s.a.Step(s.now, Head{Stream: first, ID: testID(1), Length: 0})
--- a/core/attempt/budget.go
+++ b/core/attempt/budget.go
@@ -1,7 +1,7 @@
 package attempt
 
-// Retries grants or denies one more send of a request. Budget implements it.
-type Retries interface {
+// RetryLimiter grants or denies one more send of a request. Budget implements it.
+type RetryLimiter interface {
 	Withdraw() bool
 }
 
--- a/core/attempt/claim.go
+++ b/core/attempt/claim.go
@@ -17,23 +17,23 @@
 	ClaimGranted                        // the attempt holds the key
 	ClaimExists                         // another attempt holds the key
 	ClaimMismatch                       // the key was used for another request
-	ClaimHeldBack                       // "not run" was said; earlier sends are refused
+	ClaimFenced                         // "not run" was said; earlier sends are refused
 	ClaimTooOld                         // made before the oldest records, or before the holders started
 	ClaimInvalid                        // made in the future
 )
 
-// Millis is a time in milliseconds since the Unix epoch, as a UUID of version 7
+// UnixMillis is a time in milliseconds since the Unix epoch, as a UUID of version 7
 // holds it.
-type Millis int64
+type UnixMillis int64
 
-// MillisOf returns t in milliseconds.
-func MillisOf(t time.Time) Millis { return Millis(t.UnixMilli()) }
+// UnixMillisOf returns t in milliseconds.
+func UnixMillisOf(t time.Time) UnixMillis { return UnixMillis(t.UnixMilli()) }
 
 // Time returns m as a time.Time.
-func (m Millis) Time() time.Time { return time.UnixMilli(int64(m)) }
+func (m UnixMillis) Time() time.Time { return time.UnixMilli(int64(m)) }
 
-// Holder is the attempt that may run for a key, and where.
-type Holder struct {
+// Assignment is the attempt that may run for a key, and where.
+type Assignment struct {
 	ID     ID     `cbor:"1,keyasint"`
 	Target Target `cbor:"2,keyasint"`
 }
@@ -41,19 +41,19 @@
 // Entry is what a holder keeps about a key.
 type Entry struct {
 	Key string `cbor:"1,keyasint"`
-	// Made is the time within the key.
-	Made   Millis `cbor:"2,keyasint"`
-	Digest Digest `cbor:"3,keyasint"`
-	// Holder is zero if no attempt holds the key.
-	Holder Holder `cbor:"4,keyasint"`
+	// KeyTime is the time within the key.
+	KeyTime UnixMillis `cbor:"2,keyasint"`
+	Digest  Digest     `cbor:"3,keyasint"`
+	// Owner is zero if no attempt holds the key.
+	Owner Assignment `cbor:"4,keyasint"`
 	// Version is the view under which the home made the last change.
 	Version view.Version `cbor:"5,keyasint"`
 	// Revision counts the changes; 0 is an entry that was never set.
 	Revision uint64 `cbor:"6,keyasint"`
-	// Refused is set after a caller was told "not run".
-	Refused bool `cbor:"7,keyasint"`
-	// RefusedAge is the time since then, set while the entry travels.
-	RefusedAge time.Duration `cbor:"8,keyasint"`
+	// Fenced is set after a caller was told "not run".
+	Fenced bool `cbor:"7,keyasint"`
+	// FencedAge is the time since then, set while the entry travels.
+	FencedAge time.Duration `cbor:"8,keyasint"`
 }
 
 // newer reports whether e is a later change than o. A change that was never
@@ -69,31 +69,31 @@
 // back every send that a gateway received before now.
 type ClaimRequest struct {
 	Key      string        `cbor:"1,keyasint"`
-	Made     Millis        `cbor:"2,keyasint"`
+	KeyTime  UnixMillis    `cbor:"2,keyasint"`
 	Digest   Digest        `cbor:"3,keyasint"`
-	Holder   Holder        `cbor:"4,keyasint"`
+	Owner    Assignment    `cbor:"4,keyasint"`
 	Replaces ID            `cbor:"5,keyasint"`
 	Age      time.Duration `cbor:"6,keyasint"`
-	Refuse   bool          `cbor:"7,keyasint"`
+	Fence    bool          `cbor:"7,keyasint"`
 }
 
 // ClaimReply answers a ClaimRequest.
 type ClaimReply struct {
 	Status     ClaimStatus   `cbor:"1,keyasint"`
-	Holder     Holder        `cbor:"2,keyasint"`
+	Owner      Assignment    `cbor:"2,keyasint"`
 	RetryAfter time.Duration `cbor:"3,keyasint"`
 }
 
-// HoldRequest asks the second holder to keep an entry.
-type HoldRequest struct {
+// StoreRequest asks the second holder to keep an entry.
+type StoreRequest struct {
 	Version view.Version `cbor:"1,keyasint"`
 	To      Target       `cbor:"2,keyasint"`
 	Entry   Entry        `cbor:"3,keyasint"`
 }
 
-// HoldReply answers a HoldRequest.
-type HoldReply struct {
-	Held bool `cbor:"1,keyasint"`
+// StoreReply answers a HoldRequest.
+type StoreReply struct {
+	Stored bool `cbor:"1,keyasint"`
 }
 
 // LookupRequest asks an earlier holder for an entry, and keeps it from
@@ -102,13 +102,13 @@
 	Version view.Version `cbor:"1,keyasint"`
 	To      Target       `cbor:"2,keyasint"`
 	Key     string       `cbor:"3,keyasint"`
-	Made    Millis       `cbor:"4,keyasint"`
+	KeyTime UnixMillis   `cbor:"4,keyasint"`
 }
 
 // LookupReply answers a LookupRequest.
 type LookupReply struct {
-	// Known is set if the answer comes from the incarnation that was asked.
-	Known bool `cbor:"1,keyasint"`
+	// Accepted is set if the answer comes from the incarnation that was asked.
+	Accepted bool `cbor:"1,keyasint"`
 	// Found is set if Entry is.
 	Found bool  `cbor:"2,keyasint"`
 	Entry Entry `cbor:"3,keyasint"`
@@ -117,16 +117,16 @@
 // ClaimsConfig describes the holder of claims beside one backend server.
 type ClaimsConfig struct {
 	Self Target
-	// Lifetime is how long after it was made a key can be used. Entries are
+	// KeyLifetime is how long after it was made a key can be used. Entries are
 	// kept as long.
-	Lifetime time.Duration
-	// Skew bounds the difference between the clocks of callers and agents.
-	Skew time.Duration
-	// Answer is how long other holders may take to answer.
-	Answer time.Duration
-	// Lag is how long after a view was replaced some agent may still act on
-	// it. Earlier pairs are asked about keys made up to Lag after.
-	Lag time.Duration
+	KeyLifetime time.Duration
+	// MaxClockSkew bounds the difference between the clocks of callers and agents.
+	MaxClockSkew time.Duration
+	// ReplyTimeout is how long other holders may take to answer.
+	ReplyTimeout time.Duration
+	// ViewLag is how long after a view was replaced some agent may still act on
+	// it. Earlier pairs are asked about keys made up to ViewLag after.
+	ViewLag time.Duration
 	// ConfirmWithin is how old the last Confirm may be for this agent to
 	// accept changes. It must not exceed Lag; 0 asks for no confirmation, and
 	// then agents that a partition keeps on an old view for longer than Lag
@@ -215,8 +215,8 @@
 	return ops
 }
 
-// Confirm reports that the present view was found to be current.
-func (c *Claims) Confirm(now time.Time) { c.confirmed = now }
+// ConfirmView reports that the present view was found to be current.
+func (c *Claims) ConfirmView(now time.Time) { c.confirmed = now }
 
 func (c *Claims) stale(now time.Time) bool {
 	return c.cfg.ConfirmWithin > 0 && now.Sub(c.confirmed) > c.cfg.ConfirmWithin
@@ -225,8 +225,8 @@
 // History is what a member knows about the service's views, for one that has
 // just started. Ages are relative to the time of the message.
 type History struct {
-	// Since is the age of the oldest knowledge.
-	Since time.Duration  `cbor:"1,keyasint"`
+	// Span is the age of the oldest knowledge.
+	Span  time.Duration  `cbor:"1,keyasint"`
 	Views []HistoricView `cbor:"2,keyasint"`
 }
 
@@ -239,7 +239,7 @@
 // History returns what this agent knows, the present view included.
 func (c *Claims) History(now time.Time) History {
 	c.expire(now)
-	h := History{Since: now.Sub(c.since)}
+	h := History{Span: now.Sub(c.since)}
 	for _, e := range c.earlier {
 		h.Views = append(h.Views, HistoricView{View: e.holders.view, Age: now.Sub(e.at)})
 	}
@@ -252,7 +252,7 @@
 // AdoptHistory takes over what another member knows. Its views must have been
 // prepared.
 func (c *Claims) AdoptHistory(now time.Time, h History) {
-	since := now.Add(-h.Since)
+	since := now.Add(-h.Span)
 	if !since.Before(c.since) {
 		return
 	}
@@ -267,12 +267,12 @@
 // no claim can stand.
 func (c *Claims) expire(now time.Time) {
 	n := 0
-	for n < len(c.earlier) && now.Sub(c.earlier[n].at) > c.cfg.Lifetime+c.cfg.Lag {
+	for n < len(c.earlier) && now.Sub(c.earlier[n].at) > c.cfg.KeyLifetime+c.cfg.ViewLag {
 		n++
 	}
 	c.earlier = c.earlier[n:]
 	n = 0
-	for n < len(c.order) && c.forgotten(now, c.slots[c.order[n]].entry.Made) {
+	for n < len(c.order) && c.forgotten(now, c.slots[c.order[n]].entry.KeyTime) {
 		delete(c.slots, c.order[n])
 		n++
 	}
@@ -280,15 +280,17 @@
 }
 
 // old reports whether a key made at that time is refused.
-func (c *Claims) old(now time.Time, made Millis) bool { return now.Sub(made.Time()) > c.cfg.Lifetime }
+func (c *Claims) old(now time.Time, made UnixMillis) bool {
+	return now.Sub(made.Time()) > c.cfg.KeyLifetime
+}
 
 // forgotten reports whether entries of keys made at that time are no longer
 // kept. That is later than any agent's clock accepts the key.
-func (c *Claims) forgotten(now time.Time, made Millis) bool {
-	return now.Sub(made.Time()) > c.cfg.Lifetime+2*c.cfg.Skew
+func (c *Claims) forgotten(now time.Time, made UnixMillis) bool {
+	return now.Sub(made.Time()) > c.cfg.KeyLifetime+2*c.cfg.MaxClockSkew
 }
 
-func (c *Claims) slot(key string, made Millis) *slot {
+func (c *Claims) slot(key string, made UnixMillis) *slot {
 	s := c.slots[key]
 	if s != nil {
 		return s
@@ -296,54 +298,54 @@
 	if len(c.slots) >= c.cfg.MaxEntries {
 		return nil
 	}
-	s = &slot{entry: Entry{Key: key, Made: made}}
+	s = &slot{entry: Entry{Key: key, KeyTime: made}}
 	c.slots[key] = s
 	c.order = append(c.order, key)
 	return s
 }
 
-// Hold keeps an entry for its home, unless a newer home has asked for it.
-func (c *Claims) Hold(now time.Time, in HoldRequest) HoldReply {
+// Store keeps an entry for its home, unless a newer home has asked for it.
+func (c *Claims) Store(now time.Time, in StoreRequest) StoreReply {
 	c.expire(now)
-	if in.To != c.cfg.Self || c.stale(now) || c.forgotten(now, in.Entry.Made) {
-		return HoldReply{}
+	if in.To != c.cfg.Self || c.stale(now) || c.forgotten(now, in.Entry.KeyTime) {
+		return StoreReply{}
 	}
-	s := c.slot(in.Entry.Key, in.Entry.Made)
+	s := c.slot(in.Entry.Key, in.Entry.KeyTime)
 	if s == nil || s.floor.Newer(in.Version) || s.entry.newer(&in.Entry) {
-		return HoldReply{}
+		return StoreReply{}
 	}
 	s.floor = in.Version
 	s.set(now, in.Entry)
-	return HoldReply{Held: true}
+	return StoreReply{Stored: true}
 }
 
 // Lookup answers a newer home.
 func (c *Claims) Lookup(now time.Time, in LookupRequest) LookupReply {
 	c.expire(now)
-	if in.To != c.cfg.Self || c.forgotten(now, in.Made) {
+	if in.To != c.cfg.Self || c.forgotten(now, in.KeyTime) {
 		return LookupReply{}
 	}
-	s := c.slot(in.Key, in.Made)
+	s := c.slot(in.Key, in.KeyTime)
 	if s == nil || s.floor.Newer(in.Version) {
 		return LookupReply{}
 	}
 	s.floor = in.Version
-	return LookupReply{Known: true, Found: s.entry.Revision > 0, Entry: s.travel(now)}
+	return LookupReply{Accepted: true, Found: s.entry.Revision > 0, Entry: s.travel(now)}
 }
 
 // set replaces the entry by one that travelled. The delay of the message makes
 // the refusal later than it was, which errs on the safe side.
 func (s *slot) set(now time.Time, e Entry) {
-	if e.Refused {
-		s.refusedAt = now.Add(-e.RefusedAge)
+	if e.Fenced {
+		s.refusedAt = now.Add(-e.FencedAge)
 	}
 	s.entry = e
 }
 
 func (s *slot) travel(now time.Time) Entry {
 	e := s.entry
-	if e.Refused {
-		e.RefusedAge = now.Sub(s.refusedAt)
+	if e.Fenced {
+		e.FencedAge = now.Sub(s.refusedAt)
 	}
 	return e
 }
--- a/core/attempt/claim_test.go
+++ b/core/attempt/claim_test.go
@@ -35,8 +35,8 @@
 
 func (c *cluster) boot(name string, inc view.Incarnation) {
 	c.claims[name] = NewClaims(c.now, ClaimsConfig{
-		Self: Target{name, inc}, Lifetime: time.Hour, Skew: time.Second, Answer: time.Second,
-		Lag: 10 * time.Second, MaxEntries: 8,
+		Self: Target{name, inc}, KeyLifetime: time.Hour, MaxClockSkew: time.Second, ReplyTimeout: time.Second,
+		ViewLag: 10 * time.Second, MaxEntries: 8,
 	})
 }
 
@@ -58,25 +58,25 @@
 		switch act := act.(type) {
 		case ReplyClaim:
 			c.replies = append(c.replies, act.Reply)
-		case SendHold:
-			var r HoldReply
+		case SendStore:
+			var r StoreReply
 			if to := act.Request.To.Server; !c.down[to] {
-				r = c.claims[to].Hold(c.now, act.Request)
+				r = c.claims[to].Store(c.now, act.Request)
 			}
-			c.perform(from, from.HoldAnswered(c.now, act.Seq, r))
+			c.perform(from, from.HandleStoreReply(c.now, act.Seq, r))
 		case SendLookup:
 			var r LookupReply
 			if to := act.Request.To.Server; !c.down[to] {
 				r = c.claims[to].Lookup(c.now, act.Request)
 			}
-			c.perform(from, from.LookupAnswered(c.now, act.Seq, r))
+			c.perform(from, from.HandleLookupReply(c.now, act.Seq, r))
 		}
 	}
 }
 
 func (c *cluster) claim(home string, in ClaimRequest) ClaimReply {
-	if in.Made == 0 {
-		in.Made = MillisOf(c.now)
+	if in.KeyTime == 0 {
+		in.KeyTime = UnixMillisOf(c.now)
 	}
 	h := c.claims[home]
 	c.perform(h, h.Claim(c.now, 1, in))
@@ -88,7 +88,7 @@
 	return p.home.Server, p.second.Server
 }
 
-func holder(n uint64) Holder { return Holder{testID(n), ta} }
+func holder(n uint64) Assignment { return Assignment{testID(n), ta} }
 
 func TestClaimReplies(t *testing.T) {
 	body, other := Digest{1}, Digest{2}
@@ -98,46 +98,46 @@
 		want ClaimStatus
 	}{
 		{"granted", func(c *cluster, home, _ string) ClaimReply {
-			return c.claim(home, ClaimRequest{Key: "k", Holder: holder(2)})
+			return c.claim(home, ClaimRequest{Key: "k", Owner: holder(2)})
 		}, ClaimGranted},
 		{"another attempt holds it", func(c *cluster, home, _ string) ClaimReply {
-			c.claim(home, ClaimRequest{Key: "k", Holder: holder(1)})
-			return c.claim(home, ClaimRequest{Key: "k", Holder: holder(2)})
+			c.claim(home, ClaimRequest{Key: "k", Owner: holder(1)})
+			return c.claim(home, ClaimRequest{Key: "k", Owner: holder(2)})
 		}, ClaimExists},
 		{"replaces a fenced attempt", func(c *cluster, home, _ string) ClaimReply {
-			c.claim(home, ClaimRequest{Key: "k", Holder: holder(1)})
-			return c.claim(home, ClaimRequest{Key: "k", Holder: holder(2), Replaces: testID(1)})
+			c.claim(home, ClaimRequest{Key: "k", Owner: holder(1)})
+			return c.claim(home, ClaimRequest{Key: "k", Owner: holder(2), Replaces: testID(1)})
 		}, ClaimGranted},
 		{"other body", func(c *cluster, home, _ string) ClaimReply {
-			c.claim(home, ClaimRequest{Key: "k", Holder: holder(1), Digest: body})
-			return c.claim(home, ClaimRequest{Key: "k", Holder: holder(2), Digest: other})
+			c.claim(home, ClaimRequest{Key: "k", Owner: holder(1), Digest: body})
+			return c.claim(home, ClaimRequest{Key: "k", Owner: holder(2), Digest: other})
 		}, ClaimMismatch},
 		{"not the home", func(c *cluster, _, second string) ClaimReply {
-			return c.claim(second, ClaimRequest{Key: "k", Holder: holder(2)})
+			return c.claim(second, ClaimRequest{Key: "k", Owner: holder(2)})
 		}, ClaimUnavailable},
 		{"second holder down", func(c *cluster, home, second string) ClaimReply {
 			c.down[second] = true
-			return c.claim(home, ClaimRequest{Key: "k", Holder: holder(2)})
+			return c.claim(home, ClaimRequest{Key: "k", Owner: holder(2)})
 		}, ClaimUnavailable},
 		{"received before not run was said", func(c *cluster, home, _ string) ClaimReply {
-			c.claim(home, ClaimRequest{Key: "k", Refuse: true})
+			c.claim(home, ClaimRequest{Key: "k", Fence: true})
 			c.now = c.now.Add(time.Second)
-			return c.claim(home, ClaimRequest{Key: "k", Made: MillisOf(c.now.Add(-2 * time.Second)), Holder: holder(2)})
-		}, ClaimHeldBack},
+			return c.claim(home, ClaimRequest{Key: "k", KeyTime: UnixMillisOf(c.now.Add(-2 * time.Second)), Owner: holder(2)})
+		}, ClaimFenced},
 		{"received after not run was said", func(c *cluster, home, _ string) ClaimReply {
-			made := MillisOf(c.now)
-			c.claim(home, ClaimRequest{Key: "k", Refuse: true})
-			c.now = c.now.Add(GrantBound + time.Millisecond)
-			return c.claim(home, ClaimRequest{Key: "k", Made: made, Holder: holder(2)})
+			made := UnixMillisOf(c.now)
+			c.claim(home, ClaimRequest{Key: "k", Fence: true})
+			c.now = c.now.Add(GrantTimeout + time.Millisecond)
+			return c.claim(home, ClaimRequest{Key: "k", KeyTime: made, Owner: holder(2)})
 		}, ClaimGranted},
 		{"too old", func(c *cluster, home, _ string) ClaimReply {
-			return c.claim(home, ClaimRequest{Key: "k", Made: MillisOf(c.now.Add(-2 * time.Hour))})
+			return c.claim(home, ClaimRequest{Key: "k", KeyTime: UnixMillisOf(c.now.Add(-2 * time.Hour))})
 		}, ClaimTooOld},
 		{"from the future", func(c *cluster, home, _ string) ClaimReply {
-			return c.claim(home, ClaimRequest{Key: "k", Made: MillisOf(c.now.Add(time.Minute))})
+			return c.claim(home, ClaimRequest{Key: "k", KeyTime: UnixMillisOf(c.now.Add(time.Minute))})
 		}, ClaimInvalid},
 		{"made before the home started", func(c *cluster, home, _ string) ClaimReply {
-			return c.claim(home, ClaimRequest{Key: "k", Made: MillisOf(t0)})
+			return c.claim(home, ClaimRequest{Key: "k", KeyTime: UnixMillisOf(t0)})
 		}, ClaimTooOld},
 	}
 	for _, tt := range tests {
@@ -164,9 +164,9 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			c := newCluster(4)
-			made := MillisOf(c.now)
+			made := UnixMillisOf(c.now)
 			home, second := c.pair("k")
-			is.Equal(c.claim(home, ClaimRequest{Key: "k", Holder: holder(1)}).Status, ClaimGranted)
+			is.Equal(c.claim(home, ClaimRequest{Key: "k", Owner: holder(1)}).Status, ClaimGranted)
 			c.down[home], c.down[second] = tt.home, tt.second
 			c.view = testView(2, 4, c.down)
 			for name, h := range c.claims {
@@ -175,10 +175,10 @@
 				}
 			}
 			now, _ := c.pair("k")
-			reply := c.claim(now, ClaimRequest{Key: "k", Made: made, Holder: holder(2)})
+			reply := c.claim(now, ClaimRequest{Key: "k", KeyTime: made, Owner: holder(2)})
 			is.Equal(reply.Status, tt.want)
 			if tt.want == ClaimExists {
-				is.Equal(reply.Holder, holder(1))
+				is.Equal(reply.Owner, holder(1))
 			}
 		})
 	}
@@ -190,15 +190,15 @@
 	is := is.New(t)
 	c := newCluster(4)
 	home, second := c.pair("k")
-	in := ClaimRequest{Key: "k", Made: MillisOf(c.now), Holder: holder(1)}
+	in := ClaimRequest{Key: "k", KeyTime: UnixMillisOf(c.now), Owner: holder(1)}
 	older, newer := c.view.Version, view.Version{Epoch: 1, Number: 3}
 	look := func(at string) {
-		r := c.claims[at].Lookup(c.now, LookupRequest{Version: newer, To: Target{at, 1}, Key: "k", Made: MillisOf(c.now)})
-		is.True(r.Known && !r.Found)
+		r := c.claims[at].Lookup(c.now, LookupRequest{Version: newer, To: Target{at, 1}, Key: "k", KeyTime: UnixMillisOf(c.now)})
+		is.True(r.Accepted && !r.Found)
 	}
 	look(second)
-	hold := HoldRequest{Version: older, To: Target{second, 1}, Entry: Entry{Key: "k", Made: MillisOf(c.now), Revision: 1}}
-	is.Equal(c.claims[second].Hold(c.now, hold), HoldReply{})
+	hold := StoreRequest{Version: older, To: Target{second, 1}, Entry: Entry{Key: "k", KeyTime: UnixMillisOf(c.now), Revision: 1}}
+	is.Equal(c.claims[second].Store(c.now, hold), StoreReply{})
 	is.Equal(c.claim(home, in).Status, ClaimUnavailable)
 
 	// The newer home asks while the older one is still looking up.
@@ -210,7 +210,7 @@
 	for _, act := range h.Claim(c.now, 1, in) {
 		if l, ok := act.(SendLookup); ok {
 			look(home)
-			c.perform(h, h.LookupAnswered(c.now, l.Seq, LookupReply{Known: true}))
+			c.perform(h, h.HandleLookupReply(c.now, l.Seq, LookupReply{Accepted: true}))
 			is.Equal(c.replies, []ClaimReply{{}})
 			return
 		}
@@ -220,42 +220,42 @@
 
 func TestLaterViewBeatsChangeThatWasNeverGranted(t *testing.T) {
 	is := is.New(t)
-	lost := Entry{Version: view.Version{Epoch: 1, Number: 1}, Revision: 9, Holder: holder(1)}
-	granted := Entry{Version: view.Version{Epoch: 1, Number: 2}, Revision: 2, Holder: holder(2)}
+	lost := Entry{Version: view.Version{Epoch: 1, Number: 1}, Revision: 9, Owner: holder(1)}
+	granted := Entry{Version: view.Version{Epoch: 1, Number: 2}, Revision: 2, Owner: holder(2)}
 	for _, order := range [][]Entry{{lost, granted}, {granted, lost}} {
 		o := &op{}
 		for _, e := range order {
-			o.merge(LookupReply{Known: true, Found: true, Entry: e})
+			o.merge(LookupReply{Accepted: true, Found: true, Entry: e})
 		}
-		is.Equal(o.best.Holder, holder(2))
+		is.Equal(o.best.Owner, holder(2))
 	}
 }
 
 func TestRestartedHomeLearnsHistory(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(4)
-	made := MillisOf(c.now)
+	made := UnixMillisOf(c.now)
 	home, second := c.pair("k")
-	c.claim(home, ClaimRequest{Key: "k", Holder: holder(1)})
+	c.claim(home, ClaimRequest{Key: "k", Owner: holder(1)})
 	c.boot(home, 2)
 	c.view = testView(2, 4, nil)
 	c.view.Members[c.view.Find(home)].Incarnation = 2
 	for _, h := range c.claims {
 		h.SetView(c.now, c.view)
 	}
-	is.Equal(c.claim(home, ClaimRequest{Key: "k", Made: made, Holder: holder(2)}).Status, ClaimUnavailable)
+	is.Equal(c.claim(home, ClaimRequest{Key: "k", KeyTime: made, Owner: holder(2)}).Status, ClaimUnavailable)
 	c.claims[home].AdoptHistory(c.now, c.claims[second].History(c.now))
-	is.Equal(c.claim(home, ClaimRequest{Key: "k", Made: made, Holder: holder(2)}).Status, ClaimExists)
+	is.Equal(c.claim(home, ClaimRequest{Key: "k", KeyTime: made, Owner: holder(2)}).Status, ClaimExists)
 }
 
 func TestClaimsAreBounded(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(1)
 	status := func(i int, refuse bool) ClaimStatus {
-		return c.claim("s0", ClaimRequest{Key: fmt.Sprint(i), Holder: holder(uint64(i)), Refuse: refuse}).Status
+		return c.claim("s0", ClaimRequest{Key: fmt.Sprint(i), Owner: holder(uint64(i)), Fence: refuse}).Status
 	}
 	for i := range 4 {
-		is.Equal(status(i, true), ClaimHeldBack)
+		is.Equal(status(i, true), ClaimFenced)
 	}
 	is.Equal(status(4, true), ClaimUnavailable) // refusals leave room for claims
 	for i := range 4 {
@@ -272,9 +272,9 @@
 	is := is.New(t)
 	c := newCluster(1)
 	c.claims["s0"].cfg.ConfirmWithin = time.Second
-	is.Equal(c.claim("s0", ClaimRequest{Key: "k", Holder: holder(1)}).Status, ClaimUnavailable)
-	c.claims["s0"].Confirm(c.now)
-	is.Equal(c.claim("s0", ClaimRequest{Key: "k", Holder: holder(1)}).Status, ClaimGranted)
+	is.Equal(c.claim("s0", ClaimRequest{Key: "k", Owner: holder(1)}).Status, ClaimUnavailable)
+	c.claims["s0"].ConfirmView(c.now)
+	is.Equal(c.claim("s0", ClaimRequest{Key: "k", Owner: holder(1)}).Status, ClaimGranted)
 }
 
 func TestSilentSecondEndsOperation(t *testing.T) {
@@ -282,7 +282,7 @@
 	c := newCluster(2)
 	home, _ := c.pair("k")
 	h := c.claims[home]
-	h.Claim(c.now, 1, ClaimRequest{Key: "k", Made: MillisOf(c.now), Holder: holder(1)}) // hold never answered
+	h.Claim(c.now, 1, ClaimRequest{Key: "k", KeyTime: UnixMillisOf(c.now), Owner: holder(1)}) // hold never answered
 	is.Equal(len(h.Tick(c.now)), 0)
-	is.Equal(h.Tick(c.now.Add(time.Second)), []ClaimAction{ReplyClaim{Conversation: 1}})
+	is.Equal(h.Tick(c.now.Add(time.Second)), []ClaimAction{ReplyClaim{RequestID: 1}})
 }
--- a/core/attempt/claimop.go
+++ b/core/attempt/claimop.go
@@ -13,15 +13,15 @@
 
 // ReplyClaim answers the ClaimRequest that was given with Conversation.
 type ReplyClaim struct {
-	Conversation uint64
-	Reply        ClaimReply
+	RequestID uint64
+	Reply     ClaimReply
 }
 
-// SendHold carries a HoldRequest to its target. Its reply, or its loss, is
+// SendStore carries a HoldRequest to its target. Its reply, or its loss, is
 // reported by HoldAnswered.
-type SendHold struct {
+type SendStore struct {
 	Seq     uint64
-	Request HoldRequest
+	Request StoreRequest
 }
 
 // SendLookup carries a LookupRequest to its target. Its reply, or its loss, is
@@ -32,7 +32,7 @@
 }
 
 func (ReplyClaim) claimAction() {}
-func (SendHold) claimAction()   {}
+func (SendStore) claimAction()  {}
 func (SendLookup) claimAction() {}
 
 // historyWait is how many answers' time a home waits for the history of other
@@ -65,7 +65,7 @@
 func (c *Claims) Claim(now time.Time, conversation uint64, in ClaimRequest) []ClaimAction {
 	c.out = nil
 	c.expire(now)
-	if o := c.ops[in.Key]; o != nil && now.Sub(o.since) >= c.cfg.Answer {
+	if o := c.ops[in.Key]; o != nil && now.Sub(o.since) >= c.cfg.ReplyTimeout {
 		c.endOp(now, o, ClaimReply{})
 	}
 	c.start(now, waiting{conversation: conversation, request: in})
@@ -77,7 +77,7 @@
 	c.out = nil
 	c.expire(now)
 	for _, o := range c.pending() {
-		if now.Sub(o.since) >= c.cfg.Answer {
+		if now.Sub(o.since) >= c.cfg.ReplyTimeout {
 			c.endOp(now, o, ClaimReply{})
 		}
 	}
@@ -93,11 +93,11 @@
 		c.answer(w.conversation, ClaimReply{Status: status})
 		return
 	}
-	if w.request.Refuse && len(c.slots) >= c.cfg.MaxEntries/2 && c.slots[w.request.Key] == nil {
+	if w.request.Fence && len(c.slots) >= c.cfg.MaxEntries/2 && c.slots[w.request.Key] == nil {
 		c.answer(w.conversation, ClaimReply{})
 		return
 	}
-	s := c.slot(w.request.Key, w.request.Made)
+	s := c.slot(w.request.Key, w.request.KeyTime)
 	if s == nil || s.floor.Newer(c.now.view.Version) {
 		c.answer(w.conversation, ClaimReply{})
 		return
@@ -113,9 +113,9 @@
 
 func (c *Claims) inadmissible(now time.Time, in ClaimRequest) (ClaimStatus, bool) {
 	switch {
-	case c.old(now, in.Made):
+	case c.old(now, in.KeyTime):
 		return ClaimTooOld, true
-	case in.Made.Time().Sub(now) > c.cfg.Skew:
+	case in.KeyTime.Time().Sub(now) > c.cfg.MaxClockSkew:
 		return ClaimInvalid, true
 	case c.now == nil || c.stale(now):
 		return ClaimUnavailable, true
@@ -133,7 +133,7 @@
 	for _, e := range c.earlier {
 		p, ok := e.holders.pair(o.request.Key)
 		own := p.home == c.cfg.Self || p.second == c.cfg.Self
-		if !ok || own || slices.Contains(seen, p) || c.retired(e, o.request.Made) {
+		if !ok || own || slices.Contains(seen, p) || c.retired(e, o.request.KeyTime) {
 			continue
 		}
 		seen = append(seen, p)
@@ -148,8 +148,8 @@
 
 // retired reports whether no agent acts on e any longer when a key made at
 // that time is first used.
-func (c *Claims) retired(e superseded, made Millis) bool {
-	return made.Time().Add(-c.cfg.Skew).After(e.at.Add(c.cfg.Lag))
+func (c *Claims) retired(e superseded, made UnixMillis) bool {
+	return made.Time().Add(-c.cfg.MaxClockSkew).After(e.at.Add(c.cfg.ViewLag))
 }
 
 func (c *Claims) ask(o *op, t Target) {
@@ -159,7 +159,7 @@
 	seq := c.nextSeq(o)
 	o.asked[seq] = len(o.pairs) - 1
 	c.out = append(c.out, SendLookup{Seq: seq, Request: LookupRequest{
-		Version: o.version, To: t, Key: o.request.Key, Made: o.request.Made,
+		Version: o.version, To: t, Key: o.request.Key, KeyTime: o.request.KeyTime,
 	}})
 }
 
@@ -170,9 +170,9 @@
 	return c.lastSeq
 }
 
-// LookupAnswered reports the reply to a SendLookup, or a zero reply if none
+// HandleLookupReply reports the reply to a SendLookup, or a zero reply if none
 // will come.
-func (c *Claims) LookupAnswered(now time.Time, seq uint64, in LookupReply) []ClaimAction {
+func (c *Claims) HandleLookupReply(now time.Time, seq uint64, in LookupReply) []ClaimAction {
 	c.out = nil
 	o := c.bySeq[seq]
 	if o == nil {
@@ -184,7 +184,7 @@
 	}
 	delete(c.bySeq, seq)
 	delete(o.asked, seq)
-	if in.Known {
+	if in.Accepted {
 		o.pairs[i] = true
 		o.merge(in)
 	}
@@ -206,8 +206,8 @@
 // lookedUp adopts what the earlier holders had. Where they had nothing, the
 // home must know every view of the key's life.
 func (c *Claims) lookedUp(now time.Time, o *op) {
-	covered := o.request.Made.Time().Add(-c.cfg.Skew).After(c.since)
-	s := c.slot(o.request.Key, o.request.Made)
+	covered := o.request.KeyTime.Time().Add(-c.cfg.MaxClockSkew).After(c.since)
+	s := c.slot(o.request.Key, o.request.KeyTime)
 	if s == nil || s.floor.Newer(o.version) {
 		c.endOp(now, o, ClaimReply{})
 		return
@@ -226,7 +226,7 @@
 // uncovered is the answer about a key from before the history of this home. The
 // history of other members is awaited for a while.
 func (c *Claims) uncovered(now time.Time) ClaimStatus {
-	if now.Sub(c.started) < historyWait*c.cfg.Answer {
+	if now.Sub(c.started) < historyWait*c.cfg.ReplyTimeout {
 		return ClaimUnavailable
 	}
 	return ClaimTooOld
@@ -244,11 +244,11 @@
 	s.entry.Version = o.version
 	s.entry.Revision++
 	s.entry.Digest = in.Digest
-	if reply.Status == ClaimHeldBack {
-		s.entry.Refused = true
+	if reply.Status == ClaimFenced {
+		s.entry.Fenced = true
 		s.refusedAt = now
 	} else {
-		s.entry.Holder = in.Holder
+		s.entry.Owner = in.Owner
 	}
 	o.reply = reply
 	c.replicate(now, o, s)
@@ -257,14 +257,14 @@
 // judge returns the answer to in, and whether it takes a change of the entry.
 func (s *slot) judge(now time.Time, in ClaimRequest) (ClaimReply, bool) {
 	e := &s.entry
-	mine := e.Holder.ID.IsZero() || e.Holder.ID == in.Replaces || e.Holder.ID == in.Holder.ID
+	mine := e.Owner.ID.IsZero() || e.Owner.ID == in.Replaces || e.Owner.ID == in.Owner.ID
 	switch {
 	case e.Revision > 0 && e.Digest != in.Digest:
 		return ClaimReply{Status: ClaimMismatch}, false
 	case !mine:
-		return ClaimReply{Status: ClaimExists, Holder: e.Holder}, false
-	case in.Refuse || s.heldBack(now, in.Age):
-		return ClaimReply{Status: ClaimHeldBack, RetryAfter: GrantBound}, true
+		return ClaimReply{Status: ClaimExists, Owner: e.Owner}, false
+	case in.Fence || s.heldBack(now, in.Age):
+		return ClaimReply{Status: ClaimFenced, RetryAfter: GrantTimeout}, true
 	default:
 		return ClaimReply{Status: ClaimGranted}, true
 	}
@@ -274,7 +274,7 @@
 // last "not run". The request travelled for less than GrantBound, else its
 // grant is not used.
 func (s *slot) heldBack(now time.Time, age time.Duration) bool {
-	return s.entry.Refused && !now.Add(-age-GrantBound).After(s.refusedAt)
+	return s.entry.Fenced && !now.Add(-age-GrantTimeout).After(s.refusedAt)
 }
 
 func (c *Claims) replicate(now time.Time, o *op, s *slot) {
@@ -284,21 +284,21 @@
 		return
 	}
 	seq := c.nextSeq(o)
-	c.out = append(c.out, SendHold{Seq: seq, Request: HoldRequest{
+	c.out = append(c.out, SendStore{Seq: seq, Request: StoreRequest{
 		Version: o.version, To: p.second, Entry: s.travel(now),
 	}})
 }
 
-// HoldAnswered reports the reply to a SendHold, or a zero reply if none will
+// HandleStoreReply reports the reply to a SendHold, or a zero reply if none will
 // come.
-func (c *Claims) HoldAnswered(now time.Time, seq uint64, in HoldReply) []ClaimAction {
+func (c *Claims) HandleStoreReply(now time.Time, seq uint64, in StoreReply) []ClaimAction {
 	c.out = nil
 	o := c.bySeq[seq]
 	if o == nil {
 		return nil
 	}
 	reply := ClaimReply{}
-	if in.Held {
+	if in.Stored {
 		reply = o.reply
 	}
 	c.endOp(now, o, reply)
@@ -322,5 +322,5 @@
 }
 
 func (c *Claims) answer(conversation uint64, reply ClaimReply) {
-	c.out = append(c.out, ReplyClaim{Conversation: conversation, Reply: reply})
+	c.out = append(c.out, ReplyClaim{RequestID: conversation, Reply: reply})
 }
--- a/core/attempt/ending.go
+++ b/core/attempt/ending.go
@@ -4,7 +4,7 @@
 
 // again sends the request to another backend server if it may, else ends it.
 // Every earlier send that is not proven dead must be marked in a.unproven.
-func (a *Attempt) again(now time.Time, reason Reason, retryAfter time.Duration, free bool) {
+func (a *Coordinator) again(now time.Time, reason Reason, retryAfter time.Duration, free bool) {
 	if len(a.streams) > 0 {
 		return // the other copy of a hedged request goes on
 	}
@@ -21,7 +21,7 @@
 }
 
 // fail ends a request that has no stream left.
-func (a *Attempt) fail(now time.Time, reason Reason, retryAfter time.Duration) {
+func (a *Coordinator) fail(now time.Time, reason Reason, retryAfter time.Duration) {
 	if a.unproven || a.answer.begun {
 		a.finish(Result{Outcome: Unknown, Reason: reason, RetryAfter: retryAfter})
 		return
@@ -35,25 +35,25 @@
 }
 
 // refuse makes "not run" true for the key, not for this send alone.
-func (a *Attempt) refuse(now time.Time) {
+func (a *Coordinator) refuse(now time.Time) {
 	a.phase = phaseRefusing
 	a.control.num = a.nextNum()
 	a.control.since = now
-	a.emit(Refuse{Stream: a.control.num, Replaces: a.fenced})
+	a.emit(FenceKey{Stream: a.control.num, Replaces: a.fenced})
 }
 
-func (a *Attempt) refused(now time.Time, in Claimed) {
+func (a *Coordinator) refused(now time.Time, in Claimed) {
 	switch in.Status {
-	case ClaimHeldBack:
+	case ClaimFenced:
 		r := a.result
 		r.RetryAfter = max(r.RetryAfter, in.RetryAfter)
 		a.finish(r)
 	case ClaimExists:
 		if a.result.Reason == ReasonCancelled || !now.Before(a.cfg.Deadline) {
-			a.finish(Result{Outcome: Unknown, Reason: ReasonRunning})
+			a.finish(Result{Outcome: Unknown, Reason: ReasonStillRunning})
 			return
 		}
-		a.adopt(now, in.Holder)
+		a.adopt(now, in.Owner)
 	case ClaimMismatch:
 		a.finish(Result{Outcome: NotRun, Reason: ReasonKeyReused})
 	case ClaimTooOld:
@@ -65,7 +65,7 @@
 	}
 }
 
-func (a *Attempt) unroutable(now time.Time, in Unroutable) {
+func (a *Coordinator) unroutable(now time.Time, in Unroutable) {
 	if a.phase != phaseRouting {
 		return
 	}
@@ -77,7 +77,7 @@
 }
 
 // giveUp ends the attempt at the deadline or when the caller goes away.
-func (a *Attempt) giveUp(now time.Time, reason Reason) {
+func (a *Coordinator) giveUp(now time.Time, reason Reason) {
 	switch {
 	case a.phase == phaseRefusing:
 		if reason == ReasonCancelled {
@@ -85,7 +85,7 @@
 		}
 		a.finish(Result{Outcome: Unknown, Reason: ReasonKeyUnavailable})
 	case len(a.streams) > 0 && a.foreign:
-		a.finish(Result{Outcome: Unknown, Reason: ReasonRunning})
+		a.finish(Result{Outcome: Unknown, Reason: ReasonStillRunning})
 	case len(a.streams) > 0:
 		a.finish(Result{Outcome: Unknown, Reason: reason})
 	case a.phase == phaseClaiming:
@@ -98,15 +98,15 @@
 }
 
 // claimReason is why a claim that was not answered in time failed.
-func (a *Attempt) claimReason(reason Reason) Reason {
+func (a *Coordinator) claimReason(reason Reason) Reason {
 	if reason == ReasonDeadline {
 		return ReasonKeyUnavailable
 	}
 	return reason
 }
 
-func (a *Attempt) tick(now time.Time) {
-	late := now.Sub(a.control.since) >= a.cfg.Answer
+func (a *Coordinator) tick(now time.Time) {
+	late := now.Sub(a.control.since) >= a.cfg.ReplyTimeout
 	if a.phase == phaseRefusing {
 		if late {
 			a.giveUp(now, ReasonDeadline)
@@ -130,7 +130,7 @@
 	}
 }
 
-func (a *Attempt) mayHedge() bool {
+func (a *Coordinator) mayHedge() bool {
 	return a.phase == phaseWaiting && a.cfg.Repeatable && a.cfg.HedgeAfter > 0 && !a.hedged &&
 		a.sends < a.cfg.MaxSends && len(a.streams) == 1 &&
 		a.streams[0].kind == kindSend && !a.streams[0].head
--- a/core/attempt/example_test.go
+++ b/core/attempt/example_test.go
@@ -14,18 +14,18 @@
 	target := attempt.Target{Server: "desk-1", Incarnation: 7}
 	id := attempt.ID{Gateway: "entry-1", Run: 1, Sequence: 1}
 	a := attempt.New(attempt.Config{
-		Deadline: now.Add(10 * time.Second),
-		Silence:  time.Second,
-		Stall:    time.Second,
-		Answer:   time.Second,
-		MaxSends: 3,
-		Retries:  attempt.NewBudget(0.1, 10),
+		Deadline:     now.Add(10 * time.Second),
+		SettleAfter:  time.Second,
+		StallTimeout: time.Second,
+		ReplyTimeout: time.Second,
+		MaxSends:     3,
+		Retries:      attempt.NewBudget(0.1, 10),
 	})
 	inputs := []attempt.Input{
 		attempt.Start{},
 		attempt.Routed{ID: id, Target: target},
 		attempt.Reset{Stream: 1},
-		attempt.Settled{Stream: 2, State: attempt.StateDone, Held: true},
+		attempt.Settled{Stream: 2, State: attempt.StateDone, HasResponse: true},
 		attempt.Head{Stream: 3, ID: id, Length: 2},
 		attempt.Body{Stream: 3, N: 2},
 		attempt.End{Stream: 3, Total: 2},
--- a/core/attempt/holders.go
+++ b/core/attempt/holders.go
@@ -35,9 +35,9 @@
 	return view.New(v.Service, v.Version, members)
 }
 
-// Home returns the agent that decides on key under v. It reports false if no
+// Primary returns the agent that decides on key under v. It reports false if no
 // member takes new work.
-func Home(key string, v *view.View) (Target, bool) {
+func Primary(key string, v *view.View) (Target, bool) {
 	return pick(key, v)
 }
 
--- a/core/attempt/message.go
+++ b/core/attempt/message.go
@@ -24,8 +24,8 @@
 type Claimed struct {
 	Stream uint32
 	Status ClaimStatus
-	// Holder is the attempt that holds the key, if Status is ClaimExists.
-	Holder Holder
+	// Owner is the attempt that holds the key, if Status is ClaimExists.
+	Owner Assignment
 	// RetryAfter is set if Status is ClaimHeldBack.
 	RetryAfter time.Duration
 }
@@ -33,9 +33,9 @@
 // NotSent reports that no byte of a Send left this process.
 type NotSent struct{ Stream uint32 }
 
-// Refused reports that the agent did not run a Send. State is StateFenced if
+// Rejected reports that the agent did not run a Send. State is StateFenced if
 // it never will, else StateUnknown.
-type Refused struct {
+type Rejected struct {
 	Stream     uint32
 	State      State
 	RetryAfter time.Duration
@@ -75,8 +75,8 @@
 type Settled struct {
 	Stream uint32
 	State  State
-	// Held is set if State is StateDone and the answer can be fetched.
-	Held bool
+	// HasResponse is set if State is StateDone and the answer can be fetched.
+	HasResponse bool
 }
 
 // Tick reports the passing of time.
@@ -90,7 +90,7 @@
 func (Unroutable) input() {}
 func (Claimed) input()    {}
 func (NotSent) input()    {}
-func (Refused) input()    {}
+func (Rejected) input()   {}
 func (Head) input()       {}
 func (Body) input()       {}
 func (End) input()        {}
@@ -116,9 +116,9 @@
 	Age time.Duration
 }
 
-// Refuse asks the home of the key to hold back every send of the key that a
+// FenceKey asks the home of the key to hold back every send of the key that a
 // gateway received earlier, so that "not run" stays true.
-type Refuse struct {
+type FenceKey struct {
 	Stream uint32
 	// Replaces is the fenced attempt that holds the key, or zero.
 	Replaces ID
@@ -166,12 +166,12 @@
 // Finish ends the attempt. No action follows.
 type Finish struct{ Result Result }
 
-func (Route) action()  {}
-func (Claim) action()  {}
-func (Refuse) action() {}
-func (Send) action()   {}
-func (Settle) action() {}
-func (Fetch) action()  {}
-func (Stop) action()   {}
-func (Pass) action()   {}
-func (Finish) action() {}
+func (Route) action()    {}
+func (Claim) action()    {}
+func (FenceKey) action() {}
+func (Send) action()     {}
+func (Settle) action()   {}
+func (Fetch) action()    {}
+func (Stop) action()     {}
+func (Pass) action()     {}
+func (Finish) action()   {}
--- a/core/attempt/record.go
+++ b/core/attempt/record.go
@@ -6,22 +6,22 @@
 	"fulmarmount.org/core/view"
 )
 
-// RecordConfig bounds a Record.
-type RecordConfig struct {
+// RegistryConfig bounds a Record.
+type RegistryConfig struct {
 	// Incarnation is the run of the agent that keeps the record.
 	Incarnation view.Incarnation
-	// Lifetime is how long an attempt is kept after it ended. It must exceed
+	// Retention is how long an attempt is kept after it ended. It must exceed
 	// the longest deadline of any request.
-	Lifetime time.Duration
+	Retention time.Duration
 	// MaxAttempts bounds the attempts that are kept.
 	MaxAttempts int
 	// MaxFences bounds the attempts that are kept because they never ran.
 	// Beyond it the oldest are forgotten.
 	MaxFences int
-	// MaxAnswer is the size in bytes of the largest answer that is kept.
-	MaxAnswer int
-	// MaxBytes bounds all answers that are kept.
-	MaxBytes int
+	// MaxResponseBytes is the size in bytes of the largest answer that is kept.
+	MaxResponseBytes int
+	// MaxTotalBytes bounds all answers that are kept.
+	MaxTotalBytes int
 }
 
 // Verdict is an agent's decision about an attempt that arrived.
@@ -35,15 +35,15 @@
 	VerdictFull                   // refused, and never run: the record is full
 )
 
-// Answer is a whole answer of a backend server.
-type Answer struct {
+// Response is a whole answer of a backend server.
+type Response struct {
 	Status int
 	// Header is the answer's header block in the adapter's encoding.
 	Header []byte
 	Body   []byte
 }
 
-func (a *Answer) size() int { return len(a.Header) + len(a.Body) }
+func (a *Response) size() int { return len(a.Header) + len(a.Body) }
 
 // Arrival is an attempt that reached an agent.
 type Arrival struct {
@@ -60,7 +60,7 @@
 	id     ID
 	state  State
 	key    string
-	answer *Answer
+	answer *Response
 	ended  time.Time
 }
 
@@ -70,10 +70,10 @@
 	sequence uint64
 }
 
-// Record is what one agent knows of attempts. An attempt that it forgot is
+// Registry is what one agent knows of attempts. An attempt that it forgot is
 // never run again: its gateway's floor refuses it.
-type Record struct {
-	cfg    RecordConfig
+type Registry struct {
+	cfg    RegistryConfig
 	byID   map[ID]*recorded
 	byKey  map[string]*recorded
 	floors map[string]floor
@@ -83,9 +83,9 @@
 	bytes  int
 }
 
-// NewRecord returns an empty record.
-func NewRecord(cfg RecordConfig) *Record {
-	return &Record{
+// NewRegistry returns an empty record.
+func NewRegistry(cfg RegistryConfig) *Registry {
+	return &Registry{
 		cfg:    cfg,
 		byID:   make(map[ID]*recorded),
 		byKey:  make(map[string]*recorded),
@@ -94,14 +94,14 @@
 }
 
 // Len returns the number of attempts that are kept.
-func (r *Record) Len() int { return len(r.byID) }
+func (r *Registry) Len() int { return len(r.byID) }
 
-// Bytes returns the size of the answers that are kept.
-func (r *Record) Bytes() int { return r.bytes }
+// ResponseBytes returns the size of the answers that are kept.
+func (r *Registry) ResponseBytes() int { return r.bytes }
 
 // Begin decides on an attempt that arrived. After VerdictRun the caller must
 // report its end by Done, Failed or Fence.
-func (r *Record) Begin(now time.Time, in Arrival) Verdict {
+func (r *Registry) Begin(now time.Time, in Arrival) Verdict {
 	r.Expire(now)
 	if have := r.byID[in.ID]; have != nil && have.state == StateFenced {
 		return VerdictFenced
@@ -129,11 +129,11 @@
 
 // keyTaken reports whether an attempt of key runs or ran here. The holders of
 // the key let only one attempt run; this is the last check.
-func (r *Record) keyTaken(key string) bool {
+func (r *Registry) keyTaken(key string) bool {
 	return key != "" && r.byKey[key] != nil
 }
 
-func (r *Record) forgotten(id ID) bool {
+func (r *Registry) forgotten(id ID) bool {
 	f, ok := r.floors[id.Gateway]
 	if !ok || id.Run > f.run {
 		return false
@@ -142,14 +142,14 @@
 }
 
 // refuse fences an attempt that has no entry.
-func (r *Record) refuse(now time.Time, id ID) {
+func (r *Registry) refuse(now time.Time, id ID) {
 	e := &recorded{id: id}
 	r.byID[id] = e
 	r.end(now, e, StateFenced)
 }
 
 // end moves e to a state in which it no longer runs.
-func (r *Record) end(now time.Time, e *recorded, state State) {
+func (r *Registry) end(now time.Time, e *recorded, state State) {
 	e.state = state
 	e.ended = now
 	if state != StateFenced {
@@ -166,7 +166,7 @@
 	}
 }
 
-func (r *Record) running(id ID) *recorded {
+func (r *Registry) running(id ID) *recorded {
 	e := r.byID[id]
 	if e == nil || e.state != StateRunning {
 		return nil
@@ -174,14 +174,14 @@
 	return e
 }
 
-// Done records the whole answer of a running attempt. A nil answer, or one
+// Complete records the whole answer of a running attempt. A nil answer, or one
 // that is too large, is not kept; that it ran is.
-func (r *Record) Done(now time.Time, id ID, answer *Answer) {
+func (r *Registry) Complete(now time.Time, id ID, answer *Response) {
 	e := r.running(id)
 	if e == nil {
 		return
 	}
-	if answer != nil && answer.size() <= r.cfg.MaxAnswer {
+	if answer != nil && answer.size() <= r.cfg.MaxResponseBytes {
 		e.answer = answer
 		r.bytes += answer.size()
 	}
@@ -189,8 +189,8 @@
 	r.dropAnswers()
 }
 
-// Failed records that a running attempt broke off: it may have had effects.
-func (r *Record) Failed(now time.Time, id ID) {
+// Fail records that a running attempt broke off: it may have had effects.
+func (r *Registry) Fail(now time.Time, id ID) {
 	if e := r.running(id); e != nil {
 		r.end(now, e, StateUnknown)
 	}
@@ -198,7 +198,7 @@
 
 // Fence records that an attempt was taken out of the queue before it started.
 // It reports whether the attempt is proven not to have run.
-func (r *Record) Fence(now time.Time, id ID) bool {
+func (r *Registry) Fence(now time.Time, id ID) bool {
 	e := r.running(id)
 	if e == nil {
 		return false
@@ -208,7 +208,7 @@
 }
 
 // Settle says what became of an attempt. One that has not arrived is fenced.
-func (r *Record) Settle(now time.Time, id ID, incarnation view.Incarnation) (State, *Answer) {
+func (r *Registry) Settle(now time.Time, id ID, incarnation view.Incarnation) (State, *Response) {
 	r.Expire(now)
 	if e := r.byID[id]; e != nil {
 		return e.state, e.answer
@@ -221,14 +221,14 @@
 }
 
 // Expire forgets attempts whose lifetime has passed.
-func (r *Record) Expire(now time.Time) {
+func (r *Registry) Expire(now time.Time) {
 	r.ended = r.expire(now, r.ended)
 	r.fenced = r.expire(now, r.fenced)
 }
 
-func (r *Record) expire(now time.Time, list []*recorded) []*recorded {
+func (r *Registry) expire(now time.Time, list []*recorded) []*recorded {
 	n := 0
-	for n < len(list) && now.Sub(list[n].ended) >= r.cfg.Lifetime {
+	for n < len(list) && now.Sub(list[n].ended) >= r.cfg.Retention {
 		r.forget(list[n])
 		n++
 	}
@@ -236,7 +236,7 @@
 	return list[n:]
 }
 
-func (r *Record) forget(e *recorded) {
+func (r *Registry) forget(e *recorded) {
 	if e.answer != nil {
 		r.bytes -= e.answer.size()
 	}
@@ -252,9 +252,9 @@
 
 // dropAnswers frees the oldest answers until the rest fit. That they ran stays
 // recorded.
-func (r *Record) dropAnswers() {
+func (r *Registry) dropAnswers() {
 	for _, e := range r.ended {
-		if r.bytes <= r.cfg.MaxBytes {
+		if r.bytes <= r.cfg.MaxTotalBytes {
 			return
 		}
 		if e.answer != nil {
--- a/core/attempt/record_test.go
+++ b/core/attempt/record_test.go
@@ -7,9 +7,9 @@
 	"github.com/matryer/is"
 )
 
-func testRecord() *Record {
-	return NewRecord(RecordConfig{
-		Incarnation: 1, Lifetime: time.Hour, MaxAttempts: 4, MaxFences: 2, MaxAnswer: 8, MaxBytes: 10,
+func testRecord() *Registry {
+	return NewRegistry(RegistryConfig{
+		Incarnation: 1, Retention: time.Hour, MaxAttempts: 4, MaxFences: 2, MaxResponseBytes: 8, MaxTotalBytes: 10,
 	})
 }
 
@@ -18,39 +18,39 @@
 }
 
 func TestRecordNeverRunsTwice(t *testing.T) {
-	settle := func(r *Record, now time.Time, n uint64) State {
+	settle := func(r *Registry, now time.Time, n uint64) State {
 		st, _ := r.Settle(now, testID(n), 1)
 		return st
 	}
 	later := t0.Add(2 * time.Hour)
 	tests := []struct {
 		name    string
-		prepare func(r *Record)
+		prepare func(r *Registry)
 		in      func(a *Arrival)
 		now     time.Time
 		want    Verdict
 		state   State
 	}{
 		{"first", nil, nil, t0, VerdictRun, StateRunning},
-		{"doubled while running", func(r *Record) { r.Begin(t0, arrival(1)) }, nil, t0, VerdictUnknown, StateRunning},
-		{"doubled after the end", func(r *Record) { r.Begin(t0, arrival(1)); r.Done(t0, testID(1), nil) }, nil, t0, VerdictUnknown, StateDone},
-		{"after a failure midway", func(r *Record) { r.Begin(t0, arrival(1)); r.Failed(t0, testID(1)) }, nil, t0, VerdictUnknown, StateUnknown},
-		{"after it was settled", func(r *Record) { settle(r, t0, 1) }, nil, t0, VerdictFenced, StateFenced},
-		{"after it was shed", func(r *Record) { r.Begin(t0, arrival(1)); r.Fence(t0, testID(1)) }, nil, t0, VerdictFenced, StateFenced},
-		{"after it was forgotten", func(r *Record) { r.Begin(t0, arrival(1)); r.Done(t0, testID(1), nil) }, nil, later, VerdictUnknown, StateUnknown},
-		{"after its fence was forgotten", func(r *Record) { settle(r, t0, 1); settle(r, t0, 2); settle(r, t0, 3) }, nil, t0, VerdictUnknown, StateUnknown},
-		{"of an earlier run of the gateway", func(r *Record) {
+		{"doubled while running", func(r *Registry) { r.Begin(t0, arrival(1)) }, nil, t0, VerdictUnknown, StateRunning},
+		{"doubled after the end", func(r *Registry) { r.Begin(t0, arrival(1)); r.Complete(t0, testID(1), nil) }, nil, t0, VerdictUnknown, StateDone},
+		{"after a failure midway", func(r *Registry) { r.Begin(t0, arrival(1)); r.Fail(t0, testID(1)) }, nil, t0, VerdictUnknown, StateUnknown},
+		{"after it was settled", func(r *Registry) { settle(r, t0, 1) }, nil, t0, VerdictFenced, StateFenced},
+		{"after it was shed", func(r *Registry) { r.Begin(t0, arrival(1)); r.Fence(t0, testID(1)) }, nil, t0, VerdictFenced, StateFenced},
+		{"after it was forgotten", func(r *Registry) { r.Begin(t0, arrival(1)); r.Complete(t0, testID(1), nil) }, nil, later, VerdictUnknown, StateUnknown},
+		{"after its fence was forgotten", func(r *Registry) { settle(r, t0, 1); settle(r, t0, 2); settle(r, t0, 3) }, nil, t0, VerdictUnknown, StateUnknown},
+		{"of an earlier run of the gateway", func(r *Registry) {
 			r.Begin(t0, Arrival{ID: ID{Gateway: "g", Run: 2, Sequence: 1}, Incarnation: 1, Deadline: later})
-			r.Done(t0, ID{Gateway: "g", Run: 2, Sequence: 1}, nil)
+			r.Complete(t0, ID{Gateway: "g", Run: 2, Sequence: 1}, nil)
 		}, nil, later, VerdictUnknown, StateUnknown},
 		{"for another incarnation", nil, func(a *Arrival) { a.Incarnation = 9 }, t0, VerdictUnknown, StateFenced},
 		{"after its deadline", nil, func(a *Arrival) { a.Deadline = t0 }, t0, VerdictFenced, StateFenced},
-		{"key that ran", func(r *Record) {
+		{"key that ran", func(r *Registry) {
 			a := arrival(5)
 			a.Key = "k"
 			r.Begin(t0, a)
 		}, func(a *Arrival) { a.Key = "k" }, t0, VerdictFenced, StateFenced},
-		{"record full", func(r *Record) {
+		{"record full", func(r *Registry) {
 			for n := uint64(2); n < 6; n++ {
 				r.Begin(t0, arrival(n))
 			}
@@ -87,8 +87,8 @@
 	for n, size := range []int{6, 9, 6} {
 		id := testID(uint64(n))
 		r.Begin(t0, arrival(uint64(n)))
-		r.Done(t0, id, &Answer{Body: make([]byte, size)})
-		is.True(r.Bytes() <= 10)
+		r.Complete(t0, id, &Response{Body: make([]byte, size)})
+		is.True(r.ResponseBytes() <= 10)
 	}
 	for n, held := range []bool{false, false, true} { // dropped for room, too large, kept
 		st, ans := r.Settle(t0, testID(uint64(n)), 1)
@@ -97,5 +97,5 @@
 	}
 	r.Expire(t0.Add(2 * time.Hour))
 	is.Equal(r.Len(), 0)
-	is.Equal(r.Bytes(), 0)
+	is.Equal(r.ResponseBytes(), 0)
 }
--- a/core/attempt/sim_test.go
+++ b/core/attempt/sim_test.go
@@ -57,7 +57,7 @@
 type simAgent struct {
 	index   int
 	target  Target
-	record  *Record
+	record  *Registry
 	claims  *Claims
 	pending map[uint64]func(ClaimReply)
 	conv    uint64
@@ -100,12 +100,12 @@
 
 func (s *sim) boot(a *simAgent, inc view.Incarnation) {
 	a.target = Target{Server: fmt.Sprint("s", a.index), Incarnation: inc}
-	a.record = NewRecord(RecordConfig{
-		Incarnation: inc, Lifetime: simLifetime, MaxAttempts: 1000, MaxFences: 1000, MaxAnswer: 100, MaxBytes: 10000,
+	a.record = NewRegistry(RegistryConfig{
+		Incarnation: inc, Retention: simLifetime, MaxAttempts: 1000, MaxFences: 1000, MaxResponseBytes: 100, MaxTotalBytes: 10000,
 	})
 	a.claims = NewClaims(s.now, ClaimsConfig{
-		Self: a.target, Lifetime: simLifetime, Skew: simSkew, Lag: simLag, MaxEntries: 1000,
-		Answer: 200 * time.Millisecond,
+		Self: a.target, KeyLifetime: simLifetime, MaxClockSkew: simSkew, ViewLag: simLag, MaxEntries: 1000,
+		ReplyTimeout: 200 * time.Millisecond,
 	})
 	a.pending = make(map[uint64]func(ClaimReply))
 }
@@ -185,17 +185,17 @@
 	for _, act := range acts {
 		switch act := act.(type) {
 		case ReplyClaim:
-			if reply := a.pending[act.Conversation]; reply != nil {
+			if reply := a.pending[act.RequestID]; reply != nil {
 				reply(act.Reply)
 			}
-		case SendHold:
-			done := func(r HoldReply) { s.perform(a, claims.HoldAnswered(s.now, act.Seq, r)) }
-			s.call(func() { done(HoldReply{}) }, act.Request.To, func(b *simAgent) {
-				r := b.claims.Hold(s.now, act.Request)
-				s.deliver(func() { done(r) }, func() { done(HoldReply{}) })
+		case SendStore:
+			done := func(r StoreReply) { s.perform(a, claims.HandleStoreReply(s.now, act.Seq, r)) }
+			s.call(func() { done(StoreReply{}) }, act.Request.To, func(b *simAgent) {
+				r := b.claims.Store(s.now, act.Request)
+				s.deliver(func() { done(r) }, func() { done(StoreReply{}) })
 			})
 		case SendLookup:
-			done := func(r LookupReply) { s.perform(a, claims.LookupAnswered(s.now, act.Seq, r)) }
+			done := func(r LookupReply) { s.perform(a, claims.HandleLookupReply(s.now, act.Seq, r)) }
 			s.call(func() { done(LookupReply{}) }, act.Request.To, func(b *simAgent) {
 				r := b.claims.Lookup(s.now, act.Request)
 				s.deliver(func() { done(r) }, func() { done(LookupReply{}) })
@@ -216,7 +216,7 @@
 type simRequest struct {
 	s        *sim
 	g        *simGateway
-	a        *Attempt
+	a        *Coordinator
 	key      string
 	made     time.Time
 	received time.Time
@@ -227,8 +227,8 @@
 func (s *sim) request(g *simGateway, key string, made time.Time, done func(Result)) {
 	r := &simRequest{s: s, g: g, key: key, made: made, received: s.now, done: done}
 	r.a = New(Config{
-		Key: key, Deadline: s.now.Add(8 * time.Second), Silence: 200 * time.Millisecond,
-		Stall: 200 * time.Millisecond, Answer: 300 * time.Millisecond, MaxSends: 3, Retries: always{},
+		Key: key, Deadline: s.now.Add(8 * time.Second), SettleAfter: 200 * time.Millisecond,
+		StallTimeout: 200 * time.Millisecond, ReplyTimeout: 300 * time.Millisecond, MaxSends: 3, Retries: always{},
 	})
 	r.feed(Start{})
 }
@@ -243,9 +243,9 @@
 		r.act(act)
 	}
 	if !r.a.Finished() {
-		wake := r.a.Wake().Sub(r.s.now)
+		wake := r.a.NextTick().Sub(r.s.now)
 		r.s.after(max(wake, time.Millisecond), func() {
-			if !r.a.Finished() && !r.a.Wake().After(r.s.now) {
+			if !r.a.Finished() && !r.a.NextTick().After(r.s.now) {
 				r.feed(Tick{})
 			}
 		})
@@ -261,9 +261,9 @@
 		id := ID{Gateway: r.g.name, Run: 1, Sequence: r.g.seq}
 		r.feed(Routed{ID: id, Target: Target{Server: m.ID, Incarnation: m.Incarnation}})
 	case Claim:
-		r.claim(act.Stream, ClaimRequest{Holder: Holder{act.ID, act.Target}, Replaces: act.Replaces, Age: act.Age})
-	case Refuse:
-		r.claim(act.Stream, ClaimRequest{Replaces: act.Replaces, Refuse: true})
+		r.claim(act.Stream, ClaimRequest{Owner: Assignment{act.ID, act.Target}, Replaces: act.Replaces, Age: act.Age})
+	case FenceKey:
+		r.claim(act.Stream, ClaimRequest{Replaces: act.Replaces, Fence: true})
 	case Send:
 		lost := func() { r.feed(Reset{act.Stream}) }
 		s.call(lost, act.Target, func(a *simAgent) { r.arrive(a, act) })
@@ -295,18 +295,18 @@
 }
 
 func (r *simRequest) claim(stream uint32, in ClaimRequest) {
-	in.Key, in.Made = r.key, MillisOf(r.made)
+	in.Key, in.KeyTime = r.key, UnixMillisOf(r.made)
 	s := r.s
 	if s.naive {
 		r.feed(Claimed{Stream: stream, Status: ClaimGranted})
 		return
 	}
-	home, _ := Home(r.key, r.g.view)
+	home, _ := Primary(r.key, r.g.view)
 	s.call(func() {}, home, func(a *simAgent) {
 		a.conv++
 		a.pending[a.conv] = func(rep ClaimReply) {
 			s.deliver(func() {
-				r.feed(Claimed{Stream: stream, Status: rep.Status, Holder: rep.Holder, RetryAfter: rep.RetryAfter})
+				r.feed(Claimed{Stream: stream, Status: rep.Status, Owner: rep.Owner, RetryAfter: rep.RetryAfter})
 			}, func() {})
 		}
 		s.perform(a, a.claims.Claim(s.now, a.conv, in))
@@ -317,7 +317,7 @@
 func (r *simRequest) arrive(a *simAgent, act Send) {
 	s, rec := r.s, a.record
 	refuse := func(st State) {
-		s.deliver(func() { r.feed(Refused{Stream: act.Stream, State: st}) }, func() { r.feed(Reset{act.Stream}) })
+		s.deliver(func() { r.feed(Rejected{Stream: act.Stream, State: st}) }, func() { r.feed(Reset{act.Stream}) })
 	}
 	v := rec.Begin(s.now, Arrival{
 		ID: act.ID, Incarnation: act.Target.Incarnation, Key: r.key, Deadline: r.received.Add(8 * time.Second),
@@ -343,8 +343,8 @@
 			s.bad = append(s.bad, "ran after not run: "+r.key)
 		}
 		s.after(s.upTo(400*time.Millisecond), func() {
-			ans := &Answer{Body: []byte("answer to " + r.key)}
-			rec.Done(s.now, act.ID, ans)
+			ans := &Response{Body: []byte("answer to " + r.key)}
+			rec.Complete(s.now, act.ID, ans)
 			if a.record == rec {
 				r.answer(act.Stream, act.ID, ans, act.Offset)
 			}
@@ -353,7 +353,7 @@
 }
 
 // answer streams an answer, which may be cut anywhere.
-func (r *simRequest) answer(num uint32, id ID, ans *Answer, offset int64) {
+func (r *simRequest) answer(num uint32, id ID, ans *Response, offset int64) {
 	s, half := r.s, (int64(len(ans.Body))+offset)/2
 	lost := func() { r.feed(Reset{num}) }
 	s.deliver(func() {
--- a/core/attempt/stream.go
+++ b/core/attempt/stream.go
@@ -6,18 +6,18 @@
 )
 
 // patience is how long s may be inactive.
-func (a *Attempt) patience(s *stream) time.Duration {
+func (a *Coordinator) patience(s *stream) time.Duration {
 	switch {
 	case s.head:
-		return a.cfg.Stall
+		return a.cfg.StallTimeout
 	case s.kind == kindSend:
-		return a.cfg.Silence
+		return a.cfg.SettleAfter
 	default:
-		return a.cfg.Answer
+		return a.cfg.ReplyTimeout
 	}
 }
 
-func (a *Attempt) tickStreams(now time.Time) {
+func (a *Coordinator) tickStreams(now time.Time) {
 	for _, s := range slices.Clone(a.streams) {
 		if a.phase != phaseWaiting || a.find(s.num) == nil || now.Sub(s.active) < a.patience(&s) {
 			continue
@@ -33,18 +33,18 @@
 
 // silent asks about a send that has said nothing. The send stays open: its
 // answer is welcome if it comes first.
-func (a *Attempt) silent(now time.Time, s stream) {
+func (a *Coordinator) silent(now time.Time, s stream) {
 	a.find(s.num).active = now
 	if !a.has(s.id, kindSettle) {
-		a.settle(now, Holder{ID: s.id, Target: s.target})
+		a.settle(now, Assignment{ID: s.id, Target: s.target})
 	}
 }
 
-func (a *Attempt) streamInput(now time.Time, in Input) {
+func (a *Coordinator) streamInput(now time.Time, in Input) {
 	switch in := in.(type) {
 	case NotSent:
 		a.notSent(now, in)
-	case Refused:
+	case Rejected:
 		a.refusedSend(now, in)
 	case Head:
 		a.head(now, in)
@@ -59,7 +59,7 @@
 	}
 }
 
-func (a *Attempt) notSent(now time.Time, in NotSent) {
+func (a *Coordinator) notSent(now time.Time, in NotSent) {
 	s := a.find(in.Stream)
 	if s == nil {
 		return
@@ -72,7 +72,7 @@
 	a.again(now, ReasonNoServer, 0, true)
 }
 
-func (a *Attempt) refusedSend(now time.Time, in Refused) {
+func (a *Coordinator) refusedSend(now time.Time, in Rejected) {
 	s := a.find(in.Stream)
 	if s == nil || s.kind != kindSend {
 		return
@@ -87,14 +87,14 @@
 }
 
 // lost gives up an attempt without proof.
-func (a *Attempt) lost(now time.Time, id ID) {
+func (a *Coordinator) lost(now time.Time, id ID) {
 	a.unproven = true
 	a.dropAttempt(id)
-	a.again(now, ReasonLost, 0, false)
+	a.again(now, ReasonAgentLost, 0, false)
 }
 
 // dropAttempt forgets every stream of id.
-func (a *Attempt) dropAttempt(id ID) {
+func (a *Coordinator) dropAttempt(id ID) {
 	for _, s := range slices.Clone(a.streams) {
 		if s.id == id {
 			a.drop(s)
@@ -102,7 +102,7 @@
 	}
 }
 
-func (a *Attempt) head(now time.Time, in Head) {
+func (a *Coordinator) head(now time.Time, in Head) {
 	s := a.find(in.Stream)
 	if s == nil || s.kind == kindSettle || s.head {
 		return
@@ -126,14 +126,14 @@
 }
 
 // continues reports whether a head may follow what was passed on so far.
-func (a *Attempt) continues(in Head) bool {
+func (a *Coordinator) continues(in Head) bool {
 	if in.Offset != a.answer.passed {
 		return false
 	}
 	return !a.answer.begun || in.Length == a.answer.length && in.Validator == a.answer.validator
 }
 
-func (a *Attempt) body(now time.Time, in Body) {
+func (a *Coordinator) body(now time.Time, in Body) {
 	s := a.find(in.Stream)
 	if s == nil || !s.head {
 		return
@@ -145,7 +145,7 @@
 	}
 }
 
-func (a *Attempt) end(now time.Time, in End) {
+func (a *Coordinator) end(now time.Time, in End) {
 	s := a.find(in.Stream)
 	if s == nil || !s.head {
 		return
@@ -159,7 +159,7 @@
 	a.finish(Result{Outcome: Answered})
 }
 
-func (a *Attempt) reset(now time.Time, num uint32) {
+func (a *Coordinator) reset(now time.Time, num uint32) {
 	s := a.find(num)
 	if s == nil {
 		return
@@ -173,25 +173,25 @@
 }
 
 // broken handles the loss of a stream that is already forgotten.
-func (a *Attempt) broken(now time.Time, s stream) {
-	h := Holder{ID: s.id, Target: s.target}
+func (a *Coordinator) broken(now time.Time, s stream) {
+	h := Assignment{ID: s.id, Target: s.target}
 	switch {
 	case a.cfg.Repeatable:
 		a.lost(now, s.id)
 	case s.kind == kindFetch && a.fetches >= maxFetches:
-		a.finish(Result{Outcome: Unknown, Reason: ReasonAnswerDropped})
+		a.finish(Result{Outcome: Unknown, Reason: ReasonResponseDropped})
 	case !a.has(s.id, kindSend) && !a.has(s.id, kindSettle):
 		a.settle(now, h)
 	}
 }
 
-func (a *Attempt) settled(now time.Time, in Settled) {
+func (a *Coordinator) settled(now time.Time, in Settled) {
 	s := a.find(in.Stream)
 	if s == nil || s.kind != kindSettle {
 		return
 	}
 	was := *s
-	h := Holder{ID: was.id, Target: was.target}
+	h := Assignment{ID: was.id, Target: was.target}
 	if in.State == StateRunning {
 		a.keepWaiting(now, in.Stream)
 		return
@@ -200,11 +200,11 @@
 	switch in.State {
 	case StateDone:
 		a.dropAttempt(was.id)
-		a.fetchDone(now, h, in.Held)
+		a.fetchDone(now, h, in.HasResponse)
 	case StateFenced:
 		a.dropAttempt(was.id)
 		a.fenced = was.id
-		a.again(now, ReasonLost, 0, a.sends == 0)
+		a.again(now, ReasonAgentLost, 0, a.sends == 0)
 	default:
 		a.lost(now, was.id)
 	}
@@ -212,7 +212,7 @@
 
 // keepWaiting leaves a running attempt alone for a while. Where its own stream
 // is gone the settle exchange is repeated when it is due.
-func (a *Attempt) keepWaiting(now time.Time, num uint32) {
+func (a *Coordinator) keepWaiting(now time.Time, num uint32) {
 	id := a.find(num).id
 	if a.has(id, kindSend) {
 		a.forget(num)
@@ -221,13 +221,13 @@
 	a.find(num).active = now
 }
 
-func (a *Attempt) fetchDone(now time.Time, h Holder, held bool) {
+func (a *Coordinator) fetchDone(now time.Time, h Assignment, held bool) {
 	switch {
 	case held:
 		a.fetch(now, h)
 	case a.cfg.Repeatable:
 		a.lost(now, h.ID)
 	default:
-		a.finish(Result{Outcome: Unknown, Reason: ReasonAnswerDropped})
+		a.finish(Result{Outcome: Unknown, Reason: ReasonResponseDropped})
 	}
 }
--- a/core/attempt/types.go
+++ b/core/attempt/types.go
@@ -70,19 +70,19 @@
 
 // The reasons of a Result.
 const (
-	ReasonNone           Reason = iota
-	ReasonNoServer              // no backend server can take the request
-	ReasonOverload              // shed by admission
-	ReasonDeadline              // the deadline passed
-	ReasonCancelled             // the caller went away
-	ReasonLost                  // the agent is gone or has restarted
-	ReasonRunning               // an earlier send of the key still runs
-	ReasonAnswerDropped         // it ran, but its answer is no longer held
-	ReasonTruncated             // the answer broke off after it had begun
-	ReasonKeyReused             // the key was used for another request
-	ReasonKeyUnavailable        // the holders of the key cannot be reached
-	ReasonKeyTooOld             // the key is older than the records
-	ReasonKeyInvalid            // the key is not a UUID of version 7, or from the future
+	ReasonNone            Reason = iota
+	ReasonNoServer               // no backend server can take the request
+	ReasonOverload               // shed by admission
+	ReasonDeadline               // the deadline passed
+	ReasonCancelled              // the caller went away
+	ReasonAgentLost              // the agent is gone or has restarted
+	ReasonStillRunning           // an earlier send of the key still runs
+	ReasonResponseDropped        // it ran, but its answer is no longer held
+	ReasonTruncated              // the answer broke off after it had begun
+	ReasonKeyReused              // the key was used for another request
+	ReasonKeyUnavailable         // the holders of the key cannot be reached
+	ReasonKeyTooOld              // the key is older than the records
+	ReasonKeyInvalid             // the key is not a UUID of version 7, or from the future
 )
 
 var reasonNames = [...]string{
--- a/internal/gateway/agent.go
+++ b/internal/gateway/agent.go
@@ -79,7 +79,7 @@
 	mu     sync.Mutex
 	policy Policy
 	gate   *gate
-	record *attempt.Record
+	record *attempt.Registry
 	// live are the repeatable attempts that are queued or run.
 	live map[attempt.ID]bool
 
@@ -108,13 +108,13 @@
 		live:    make(map[attempt.ID]bool),
 		ctx:     ctx,
 		cancel:  cancel,
-		record: attempt.NewRecord(attempt.RecordConfig{
-			Incarnation: o.Self.Incarnation,
-			Lifetime:    recordLifetime,
-			MaxAttempts: maxAttempts,
-			MaxFences:   maxFences,
-			MaxAnswer:   maxAnswer,
-			MaxBytes:    maxAnswers,
+		record: attempt.NewRegistry(attempt.RegistryConfig{
+			Incarnation:      o.Self.Incarnation,
+			Retention:        recordLifetime,
+			MaxAttempts:      maxAttempts,
+			MaxFences:        maxFences,
+			MaxResponseBytes: maxAnswer,
+			MaxTotalBytes:    maxAnswers,
 		}),
 	}
 	a.gate = newGate(o.Now, a.ramp().Slots(a.started, o.Slots), o.Policy.admissionClasses(fleet.Whole, "", agentQueue))
@@ -193,7 +193,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return AgentState{
-		Load: load, Recorded: a.record.Len(), AnswerBytes: a.record.Bytes(), Claims: a.claims.len(),
+		Load: load, Recorded: a.record.Len(), AnswerBytes: a.record.ResponseBytes(), Claims: a.claims.len(),
 		Runs: a.stats.runs.Value(), Shed: a.stats.shed.Value(), Fenced: a.stats.fenced.Value(),
 		Failed: a.stats.failed.Value(), Settled: a.stats.settled.Value(), Fetched: a.stats.fetched.Value(),
 	}
@@ -260,7 +260,7 @@
 	}
 	a.stats.settled.Add(1)
 	a.mu.Lock()
-	state, answer := attempt.StateUnknown, (*attempt.Answer)(nil)
+	state, answer := attempt.StateUnknown, (*attempt.Response)(nil)
 	switch {
 	case a.live[in.ID] && in.Incarnation == a.o.Self.Incarnation:
 		state = attempt.StateRunning
--- a/internal/gateway/claims.go
+++ b/internal/gateway/claims.go
@@ -33,10 +33,10 @@
 		replies: make(map[uint64]chan attempt.ClaimReply),
 		core: attempt.NewClaims(o.Now(), attempt.ClaimsConfig{
 			Self:          o.Self,
-			Lifetime:      recordLifetime,
-			Skew:          o.ClockSkew,
-			Answer:        holderAnswer,
-			Lag:           viewLag,
+			KeyLifetime:   recordLifetime,
+			MaxClockSkew:  o.ClockSkew,
+			ReplyTimeout:  holderAnswer,
+			ViewLag:       viewLag,
 			ConfirmWithin: o.ConfirmWithin,
 			MaxEntries:    maxClaims,
 		}),
@@ -58,7 +58,7 @@
 func (c *claims) confirm(asOf time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.core.Confirm(asOf)
+	c.core.ConfirmView(asOf)
 }
 
 func (c *claims) setView(v *view.View) {
@@ -100,18 +100,18 @@
 	for _, act := range acts {
 		switch act := act.(type) {
 		case attempt.ReplyClaim:
-			if ch := c.replies[act.Conversation]; ch != nil {
-				delete(c.replies, act.Conversation)
+			if ch := c.replies[act.RequestID]; ch != nil {
+				delete(c.replies, act.RequestID)
 				ch <- act.Reply
 			}
-		case attempt.SendHold:
+		case attempt.SendStore:
 			addr := c.addrs[act.Request.To.Server]
 			c.tasks.Go(func() {
 				// A zero reply stands for a lost one.
-				reply, _ := call[attempt.HoldReply](c.ctx, c.o.Pool, addr, KindHold, act.Request, holderAnswer)
+				reply, _ := call[attempt.StoreReply](c.ctx, c.o.Pool, addr, KindHold, act.Request, holderAnswer)
 				c.mu.Lock()
 				defer c.mu.Unlock()
-				c.perform(c.core.HoldAnswered(c.o.Now(), act.Seq, reply))
+				c.perform(c.core.HandleStoreReply(c.o.Now(), act.Seq, reply))
 			})
 		case attempt.SendLookup:
 			addr := c.addrs[act.Request.To.Server]
@@ -119,7 +119,7 @@
 				reply, _ := call[attempt.LookupReply](c.ctx, c.o.Pool, addr, KindLookup, act.Request, holderAnswer)
 				c.mu.Lock()
 				defer c.mu.Unlock()
-				c.perform(c.core.LookupAnswered(c.o.Now(), act.Seq, reply))
+				c.perform(c.core.HandleLookupReply(c.o.Now(), act.Seq, reply))
 			})
 		}
 	}
@@ -180,7 +180,7 @@
 }
 
 func (c *claims) serveHold(_ context.Context, s *peer.Stream) {
-	serveOne(c, s, c.core.Hold)
+	serveOne(c, s, c.core.Store)
 }
 
 func (c *claims) serveLookup(_ context.Context, s *peer.Stream) {
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -34,7 +34,7 @@
 	repeatable bool
 	deadline   time.Time
 
-	attempt  *attempt.Attempt
+	attempt  *attempt.Coordinator
 	events   chan event
 	streams  map[uint32]*outgoing
 	leave    func() // returns the slot of the gate
@@ -83,7 +83,7 @@
 }
 
 func (e *exchange) pause() time.Duration {
-	return max(0, e.attempt.Wake().Sub(e.g.o.Now()))
+	return max(0, e.attempt.NextTick().Sub(e.g.o.Now()))
 }
 
 func (e *exchange) count() {
@@ -117,10 +117,10 @@
 		e.route(act)
 	case attempt.Claim:
 		e.claim(act.Stream, attempt.ClaimRequest{
-			Holder: attempt.Holder{ID: act.ID, Target: act.Target}, Replaces: act.Replaces, Age: act.Age,
+			Owner: attempt.Assignment{ID: act.ID, Target: act.Target}, Replaces: act.Replaces, Age: act.Age,
 		})
-	case attempt.Refuse:
-		e.claim(act.Stream, attempt.ClaimRequest{Replaces: act.Replaces, Refuse: true})
+	case attempt.FenceKey:
+		e.claim(act.Stream, attempt.ClaimRequest{Replaces: act.Replaces, Fence: true})
 	case attempt.Send:
 		e.send(act)
 	case attempt.Settle:
@@ -174,7 +174,7 @@
 // claim asks the home of the key. A lost answer is not reported: the attempt
 // asks again when its time is over.
 func (e *exchange) claim(stream uint32, in attempt.ClaimRequest) {
-	in.Key, in.Made, in.Digest = e.key.value, e.key.made, e.digest
+	in.Key, in.KeyTime, in.Digest = e.key.value, e.key.made, e.digest
 	addr, ok := e.s.home(in.Key)
 	if !ok {
 		return
@@ -183,7 +183,7 @@
 		reply, err := call[attempt.ClaimReply](context.Background(), e.g.o.Pool, addr, KindClaim, in, answerLimit)
 		if err == nil {
 			e.post(event{in: attempt.Claimed{
-				Stream: stream, Status: reply.Status, Holder: reply.Holder, RetryAfter: reply.RetryAfter,
+				Stream: stream, Status: reply.Status, Owner: reply.Owner, RetryAfter: reply.RetryAfter,
 			}})
 		}
 	}()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -302,7 +302,7 @@
 	if s.view == nil {
 		return netip.AddrPort{}, false
 	}
-	home, ok := attempt.Home(key, s.view)
+	home, ok := attempt.Primary(key, s.view)
 	return s.address(home.Server), ok
 }
 
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -41,7 +41,7 @@
 // callerKey is a caller's Idempotency-Key.
 type callerKey struct {
 	value string
-	made  attempt.Millis
+	made  attempt.UnixMillis
 }
 
 // parseKey reads the key, bare or quoted as a structured field.
@@ -54,7 +54,7 @@
 	if err != nil || id.Version() != 7 {
 		return callerKey{}, false
 	}
-	return callerKey{value: id.String(), made: attempt.MillisOf(time.Unix(id.Time().UnixTime()))}, true
+	return callerKey{value: id.String(), made: attempt.UnixMillisOf(time.Unix(id.Time().UnixTime()))}, true
 }
 
 // newExchange reads the request and sets up its attempt. It refuses a request
@@ -86,7 +86,7 @@
 	}
 	config := attempt.Config{
 		Key: key.value, Repeatable: e.repeatable, Deadline: deadline,
-		Silence: silence, Stall: stall, Answer: answerLimit, MaxSends: maxSends, Retries: s,
+		SettleAfter: silence, StallTimeout: stall, ReplyTimeout: answerLimit, MaxSends: maxSends, Retries: s,
 	}
 	if e.repeatable {
 		config.HedgeAfter = s.Policy.HedgeAfter
--- a/internal/gateway/outgoing.go
+++ b/internal/gateway/outgoing.go
@@ -128,7 +128,7 @@
 	}
 	if head.Refused {
 		o.ending = admission.Refused
-		o.post(attempt.Refused{Stream: o.num, State: head.State, RetryAfter: head.RetryAfter})
+		o.post(attempt.Rejected{Stream: o.num, State: head.State, RetryAfter: head.RetryAfter})
 		return
 	}
 	in := attempt.Head{
@@ -200,7 +200,7 @@
 			o.broken(ctx)
 			return
 		}
-		o.post(attempt.Settled{Stream: o.num, State: reply.State, Held: reply.Held})
+		o.post(attempt.Settled{Stream: o.num, State: reply.State, HasResponse: reply.Held})
 	})
 }
 
--- a/internal/gateway/problem.go
+++ b/internal/gateway/problem.go
@@ -31,11 +31,11 @@
 		return http.StatusBadRequest
 	case attempt.ReasonKeyReused, attempt.ReasonKeyTooOld:
 		return http.StatusUnprocessableEntity
-	case attempt.ReasonRunning:
+	case attempt.ReasonStillRunning:
 		return http.StatusConflict
 	case attempt.ReasonDeadline:
 		return http.StatusGatewayTimeout
-	case attempt.ReasonLost, attempt.ReasonAnswerDropped, attempt.ReasonTruncated:
+	case attempt.ReasonAgentLost, attempt.ReasonResponseDropped, attempt.ReasonTruncated:
 		return http.StatusBadGateway
 	default:
 		return http.StatusServiceUnavailable
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -112,16 +112,16 @@
 }
 
 // done records the end of an attempt that ran. A nil answer is not kept.
-func (r *run) done(answer *attempt.Answer, failed bool) {
+func (r *run) done(answer *attempt.Response, failed bool) {
 	r.a.mu.Lock()
 	defer r.a.mu.Unlock()
 	switch {
 	case r.open.Repeatable:
 		delete(r.a.live, r.open.ID)
 	case failed:
-		r.a.record.Failed(r.a.o.Now(), r.open.ID)
+		r.a.record.Fail(r.a.o.Now(), r.open.ID)
 	default:
-		r.a.record.Done(r.a.o.Now(), r.open.ID, answer)
+		r.a.record.Complete(r.a.o.Now(), r.open.ID, answer)
 	}
 }
 
@@ -262,16 +262,16 @@
 	}
 }
 
-func newAnswer(head answerHead, body []byte) (*attempt.Answer, error) {
+func newAnswer(head answerHead, body []byte) (*attempt.Response, error) {
 	header, err := cbor.Marshal(head.Header)
 	if err != nil {
 		return nil, errorx.Decorate(err, "encode the header fields of an answer")
 	}
-	return &attempt.Answer{Status: head.Status, Header: header, Body: body}, nil
+	return &attempt.Response{Status: head.Status, Header: header, Body: body}, nil
 }
 
 // heldHead describes an answer from the record.
-func heldHead(id attempt.ID, answer *attempt.Answer) (answerHead, error) {
+func heldHead(id attempt.ID, answer *attempt.Response) (answerHead, error) {
 	head := answerHead{ID: id, Status: answer.Status, Length: int64(len(answer.Body))}
 	if err := cbor.Unmarshal(answer.Header, &head.Header); err != nil {
 		return head, errorx.Decorate(err, "decode the header fields of an answer")
--- a/internal/gateway/wire.go
+++ b/internal/gateway/wire.go
@@ -34,7 +34,7 @@
 	KindFetch = "fetch"
 	// KindClaim: attempt.ClaimRequest one way, attempt.ClaimReply back.
 	KindClaim = "claim"
-	// KindHold: attempt.HoldRequest one way, attempt.HoldReply back.
+	// KindHold: attempt.StoreRequest one way, attempt.StoreReply back.
 	KindHold = "hold"
 	// KindLookup: attempt.LookupRequest one way, attempt.LookupReply back.
 	KindLookup = "lookup"
