--- a/core/steer/agent.go
+++ b/core/steer/agent.go
@@ -9,384 +9,392 @@
 	"fulmarmount.org/core/view"
 )
 
-// BackendState is what a backend server says of itself.
+// BackendState is the state that a backend server has last reported.
 type BackendState uint8
 
-// The standings.
+// The states of a backend server.
 const (
-	BackendUnknown      BackendState = iota // has not said anything yet
-	BackendServing                          // takes new flows
-	BackendDraining                         // keeps its flows
-	BackendDeregistered                     // has said that it is gone
+	BackendUnknown      BackendState = iota // has not reported yet
+	BackendServing                          // accepts new flows
+	BackendDraining                         // serves existing flows only
+	BackendDeregistered                     // has reported its shutdown
 )
 
-var standingNames = [...]string{"unheard", "serving", "draining", "left"}
+var backendStateNames = [...]string{"unheard", "serving", "draining", "left"}
 
-// String returns the standing's name.
-func (s BackendState) String() string { return standingNames[s] }
+// String returns the state's name in logs and dumps.
+func (s BackendState) String() string { return backendStateNames[s] }
 
-// ForwardInfo is how a segment has come to a host.
+// ForwardInfo describes how a balancer has forwarded a segment to an agent.
 type ForwardInfo struct {
 	Service view.ServiceID
 	// ConfigVersion is the version of the service's configuration that the balancer
-	// has decided by.
+	// has used.
 	ConfigVersion view.Version
-	// Incarnation is the run of the backend server that the balancer has chosen.
+	// Incarnation is the incarnation of the backend server that the balancer has
+	// selected.
 	Incarnation view.Incarnation
-	// Balancer is where a return goes.
+	// Balancer is the address to return the segment to.
 	Balancer   netip.AddrPort
 	Hops       uint8
 	OwnerKnown bool
 }
 
-// Refusal tells why a host returns a segment.
+// Refusal is the reason why an agent returns a segment.
 type Refusal uint8
 
 // The refusals.
 const (
 	RefusalNone         Refusal = iota
 	RefusalWrongService         // the backend server serves another service
-	RefusalNotRouted            // no caller may reach the service by this address
-	RefusalNotServing           // the backend server takes no new flows
-	RefusalUnknownFlow          // the backend server does not hold the flow
-	RefusalBackendDown          // the backend server has ended, and its flows with it
-	refusalsCount       = iota
+	RefusalNotRouted            // the service is not routed at this address
+	RefusalNotServing           // the backend server accepts no new flows
+	RefusalUnknownFlow          // the backend server does not own the flow
+	RefusalBackendDown          // the backend server is down, and its flows are lost
+	refusalCount        = iota
 )
 
-var refusalNames = [refusalsCount]string{"none", "other_service", "not_routed", "not_taking", "unknown_flow", "ended"}
+var refusalNames = [refusalCount]string{"none", "other_service", "not_routed", "not_taking", "unknown_flow", "ended"}
 
-// String returns the refusal's name.
+// String returns the refusal's name in logs.
 func (r Refusal) String() string { return refusalNames[r] }
 
-// AgentDecision is what to do with one segment.
+// AgentDecision is an agent's decision about one segment.
 type AgentDecision struct {
-	// Refusal is NoRefusal where the segment goes to the backend server; others
-	// return it to the balancer.
+	// Refusal is RefusalNone if the segment is to be delivered to the backend server.
+	// Otherwise it is returned to the balancer.
 	Refusal Refusal
-	// Token comes back with the segment if the backend server bounces it.
+	// Token identifies the delivery if the backend server bounces the segment.
 	Token uint32
-	// NotifyBalancer asks that the balancer be told that the flow is here.
+	// NotifyBalancer is set if the balancer is to be notified that the flow is owned
+	// here.
 	NotifyBalancer bool
 }
 
-// hostFlow is a flow that the backend server holds.
-type hostFlow struct {
-	seen     time.Duration
-	balancer netip.AddrPort // that brought the newest SYN, to be told when it is answered
-	running  bool
-	// asked is the sequence number after the newest bytes of the caller.
-	asked     uint32
-	hostFIN   bool
-	callerFIN bool
+// backendFlow is a flow that the backend server owns.
+type backendFlow struct {
+	lastSeen  time.Duration
+	balancer  netip.AddrPort // forwarded the latest SYN; notified when it is answered
+	isRunning bool           // the caller waits for a response
+	// requestEnd is the sequence number after the last byte received from the caller.
+	requestEnd uint32
+	backendFIN bool
+	callerFIN  bool
 }
 
 const (
-	// pendingSize is the number of delivered segments that a bounce can be
-	// matched with.
-	pendingSize = 4096
-	// longestStep is the most silence that one tick counts: time in which this
-	// process did not run says nothing about the backend server.
-	longestStep = 200 * time.Millisecond
-	// closedTime is how long a flow is kept after both ends have closed it.
-	closedTime = 2 * time.Second
-	// openingTime is how long after it was opened a flow counts as a request.
+	// maxDeliveries is the number of delivered segments that a bounce can be matched
+	// with.
+	maxDeliveries = 4096
+	// maxSilencePerTick bounds the silence that one tick adds: a pause of this process
+	// proves nothing about the backend server.
+	maxSilencePerTick = 200 * time.Millisecond
+	// closedFlowTTL is how long a flow is kept after both ends have closed it.
+	closedFlowTTL = 2 * time.Second
+	// openingTime is how long after its opening a flow without a request counts as a
+	// running request.
 	openingTime = 300 * time.Millisecond
-	// maxProbes bounds the balancers that wait to be told about a flow.
+	// maxProbes bounds the probed flows whose balancers wait for a notification.
 	maxProbes = 8192
 )
 
-// Agent decides about the segments of one backend server. It is safe for
-// concurrent use.
+// Agent decides about the segments of one backend server. It is safe for concurrent
+// use.
 type Agent struct {
-	mu      sync.Mutex
-	run     view.Incarnation
-	service view.ServiceID
-	// untold is set while the service's configuration is not known yet.
-	untold   bool
-	routed   map[netip.AddrPort]bool
-	position view.Version
-	standing BackendState
-	// silence is how long nothing was heard of the backend server.
+	mu          sync.Mutex
+	incarnation view.Incarnation
+	service     view.ServiceID
+	// isConfigMissing is set until the service's configuration is known.
+	isConfigMissing bool
+	routedAddrs     map[netip.AddrPort]bool
+	configVersion   view.Version
+	state           BackendState
+	// silence is the time since the last sign of life of the backend server.
 	silence time.Duration
-	// patience is the silence after which it has ended.
-	patience time.Duration
-	ticked   time.Duration
-	started  time.Duration
-	idle     time.Duration
-	// whole is set where every flow of the backend server is in flows.
-	whole bool
-	flows map[flow.ID]*hostFlow
-	// probes are the balancers that have brought segments of flows that the
-	// backend server may hold.
-	probes  map[flow.ID]netip.AddrPort
-	running uint32
-	pending [pendingSize]pending
-	next    uint32
+	// silenceTimeout is the silence after which the backend server is considered down.
+	silenceTimeout time.Duration
+	lastTick       time.Duration
+	startedAt      time.Duration
+	idleTimeout    time.Duration
+	// hasAllFlows is set if flows holds every flow of the backend server.
+	hasAllFlows bool
+	flows       map[flow.ID]*backendFlow
+	// probes maps flows that the backend server may own to the balancers that have
+	// probed for them.
+	probes          map[flow.ID]netip.AddrPort
+	runningRequests uint32
+	deliveries      [maxDeliveries]delivery
+	lastToken       uint32
 }
 
-// pending is a segment that was delivered.
-type pending struct {
-	token   uint32
-	arrival ForwardInfo
+// delivery is a segment that was delivered to the backend server.
+type delivery struct {
+	token       uint32
+	forwardInfo ForwardInfo
 }
 
-// AgentOptions configure a Host.
+// AgentOptions configure an Agent.
 type AgentOptions struct {
-	// SilenceTimeout is how long a backend server may be silent.
+	// SilenceTimeout is the silence after which a backend server is considered down.
 	SilenceTimeout time.Duration
-	// IdleTimeout is how long a flow may be silent.
+	// IdleTimeout is how long a flow is kept after its last segment.
 	IdleTimeout time.Duration
 }
 
-// NewAgent returns a Host that was started at now.
+// NewAgent returns an Agent started at now.
 func NewAgent(now time.Duration, o AgentOptions) *Agent {
 	return &Agent{
-		patience: o.SilenceTimeout, idle: o.IdleTimeout, started: now, ticked: now, untold: true,
-		flows: make(map[flow.ID]*hostFlow), probes: make(map[flow.ID]netip.AddrPort), routed: make(map[netip.AddrPort]bool),
+		silenceTimeout: o.SilenceTimeout, idleTimeout: o.IdleTimeout, startedAt: now, lastTick: now, isConfigMissing: true,
+		flows: make(map[flow.ID]*backendFlow), probes: make(map[flow.ID]netip.AddrPort), routedAddrs: make(map[netip.AddrPort]bool),
 	}
 }
 
-// SetService puts the service's configuration in force: the addresses that lead
-// to it, as of position; 0 for a service that was removed.
-func (h *Agent) SetService(id view.ServiceID, position view.Version, routed []netip.AddrPort) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.service, h.position, h.untold = id, position, false
-	clear(h.routed)
-	for _, addr := range routed {
-		h.routed[addr] = true
+// SetService activates a version of the service's configuration with the addresses that
+// are routed to the service. The ID 0 stands for a service that was removed.
+func (a *Agent) SetService(id view.ServiceID, version view.Version, addrs []netip.AddrPort) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.service, a.configVersion, a.isConfigMissing = id, version, false
+	clear(a.routedAddrs)
+	for _, addr := range addrs {
+		a.routedAddrs[addr] = true
 	}
 }
 
-// ClearService notes that the backend server serves another service, whose
+// ClearService records that the backend server serves another service, whose
 // configuration is not known yet.
-func (h *Agent) ClearService() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.service, h.position, h.untold = 0, view.Version{}, true
-	clear(h.routed)
+func (a *Agent) ClearService() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.service, a.configVersion, a.isConfigMissing = 0, view.Version{}, true
+	clear(a.routedAddrs)
 }
 
-// StartIncarnation notes a new run of the backend server, which holds no flow. Where it is
-// first, the run may have begun before this process did.
-func (h *Agent) StartIncarnation(run view.Incarnation, first bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.run = run
-	clear(h.flows)
-	clear(h.probes)
-	h.running = 0
-	h.whole = !first
+// StartIncarnation records a new incarnation of the backend server, and drops the flows
+// of the one before. mayHaveFlows tells that the incarnation may have started, and
+// accepted flows, before this process.
+func (a *Agent) StartIncarnation(incarnation view.Incarnation, mayHaveFlows bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.incarnation = incarnation
+	clear(a.flows)
+	clear(a.probes)
+	a.runningRequests = 0
+	a.hasAllFlows = !mayHaveFlows
 }
 
-// SetState notes what the backend server says of itself.
-func (h *Agent) SetState(s BackendState) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.standing, h.silence = s, 0
+// SetState records the state that the backend server has reported.
+func (a *Agent) SetState(s BackendState) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.state, a.silence = s, 0
 }
 
-// State returns what the backend server has last said of itself.
-func (h *Agent) State() BackendState {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.standing
+// State returns the state that the backend server has last reported.
+func (a *Agent) State() BackendState {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.state
 }
 
-// Load returns the load to report.
-func (h *Agent) Load() Load {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return Load{Flows: uint32(len(h.flows)), RunningRequests: h.running}
+// Load returns the current load of the backend server.
+func (a *Agent) Load() Load {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return Load{Flows: uint32(len(a.flows)), RunningRequests: a.runningRequests}
 }
 
-// IsDown reports whether the backend server is taken to have ended.
-func (h *Agent) IsDown() bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.ended()
+// IsDown reports whether the backend server has deregistered or exceeded the silence
+// timeout.
+func (a *Agent) IsDown() bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.isDown()
 }
 
-func (h *Agent) ended() bool {
-	return h.standing == BackendDeregistered || h.standing != BackendUnknown && h.silence > h.patience
+func (a *Agent) isDown() bool {
+	return a.state == BackendDeregistered || a.state != BackendUnknown && a.silence > a.silenceTimeout
 }
 
-// Receive decides about a segment from a balancer.
-func (h *Agent) Receive(now time.Duration, s *Segment, a ForwardInfo) AgentDecision {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// Receive decides about a segment that a balancer has forwarded.
+func (a *Agent) Receive(now time.Duration, s *Segment, info ForwardInfo) AgentDecision {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	id := s.Tuple.ID()
-	f := h.flows[id]
-	if refusal := h.refuses(now, f, s, a); refusal != RefusalNone {
+	f := a.flows[id]
+	if refusal := a.checkSegment(now, f, s, info); refusal != RefusalNone {
 		return AgentDecision{Refusal: refusal}
 	}
-	tell := f != nil && !a.OwnerKnown
-	h.note(now, f, s)
+	notify := f != nil && !info.OwnerKnown
+	a.trackCaller(now, f, s)
 	switch {
 	case s.OpensFlow():
-		h.held(now, id).balancer = a.Balancer
-	case f == nil && len(h.probes) < maxProbes:
-		h.probes[id] = a.Balancer
+		a.touchFlow(now, id).balancer = info.Balancer
+	case f == nil && len(a.probes) < maxProbes:
+		a.probes[id] = info.Balancer
 	}
-	return AgentDecision{Token: h.remember(a), NotifyBalancer: tell}
+	return AgentDecision{Token: a.recordDelivery(info), NotifyBalancer: notify}
 }
 
-// refuses returns why a segment is not delivered. f is its flow, nil where the
-// flow is not known here.
-func (h *Agent) refuses(now time.Duration, f *hostFlow, s *Segment, a ForwardInfo) Refusal {
+// checkSegment returns the reason not to deliver a segment. f is its flow, or nil if
+// the agent has no record of the flow.
+func (a *Agent) checkSegment(now time.Duration, f *backendFlow, s *Segment, info ForwardInfo) Refusal {
 	if s.OpensFlow() {
-		return h.refusesNew(a, s)
+		return a.checkSYN(info, s)
 	}
 	switch {
-	case f != nil && h.ended():
+	case f != nil && a.isDown():
 		return RefusalBackendDown
 	case f != nil:
 		return RefusalNone
-	case h.ended():
+	case a.isDown():
 		return RefusalUnknownFlow
-	case h.whole || now-h.started > MaxFlowLifetime:
+	case a.hasAllFlows || now-a.startedAt > MaxFlowLifetime:
 		return RefusalUnknownFlow
 	}
-	return RefusalNone // the backend server knows
+	return RefusalNone // the backend server bounces the segment if it does not own the flow
 }
 
-// refusesNew judges a new flow by the newer of both configurations. While none is
-// known here, the balancer's counts if it has chosen this run of the backend server,
-// whose service it then knows from a view.
-func (h *Agent) refusesNew(a ForwardInfo, s *Segment) Refusal {
-	chosen := h.untold && a.Incarnation != 0 && a.Incarnation == h.run
+// checkSYN checks a SYN against the newer of the balancer's and the agent's
+// configuration. While the agent has none, it relies on the balancer if that has
+// selected the current incarnation of the backend server, whose service the balancer
+// has from a view.
+func (a *Agent) checkSYN(info ForwardInfo, s *Segment) Refusal {
+	isSelected := a.isConfigMissing && info.Incarnation != 0 && info.Incarnation == a.incarnation
 	switch {
-	case !chosen && (h.service == 0 || a.Service != h.service):
+	case !isSelected && (a.service == 0 || info.Service != a.service):
 		return RefusalWrongService
-	case h.standing != BackendServing || h.ended():
+	case a.state != BackendServing || a.isDown():
 		return RefusalNotServing
-	case !h.routed[s.Tuple.Service] && !a.ConfigVersion.Newer(h.position):
+	case !a.routedAddrs[s.Tuple.Service] && !info.ConfigVersion.Newer(a.configVersion):
 		return RefusalNotRouted
 	}
 	return RefusalNone
 }
 
-// held returns a flow of which a segment was just seen.
-func (h *Agent) held(now time.Duration, id flow.ID) *hostFlow {
-	f := h.flows[id]
+// touchFlow returns the record of a flow, which it creates if necessary, and sets its
+// last use to now.
+func (a *Agent) touchFlow(now time.Duration, id flow.ID) *backendFlow {
+	f := a.flows[id]
 	if f == nil {
-		f = &hostFlow{}
-		h.flows[id] = f
+		f = &backendFlow{}
+		a.flows[id] = f
 	}
-	f.seen = now
+	f.lastSeen = now
 	return f
 }
 
-// note follows a flow by a segment of its caller.
-func (h *Agent) note(now time.Duration, f *hostFlow, s *Segment) {
+// trackCaller updates a flow by a segment of its caller.
+func (a *Agent) trackCaller(now time.Duration, f *backendFlow, s *Segment) {
 	if f == nil {
 		return
 	}
-	f.seen = now
+	f.lastSeen = now
 	f.callerFIN = f.callerFIN || s.Flags&(FIN|RST) != 0
 	switch {
 	case f.callerFIN:
-		h.setRunning(f, false) // the caller waits no longer
-	case s.Length > 0 && f.advances(s):
-		h.setRunning(f, true)
+		a.setRunning(f, false) // the caller no longer waits for a response
+	case s.Length > 0 && f.advanceRequest(s):
+		a.setRunning(f, true)
 	}
 }
 
-// advances reports whether a segment carries bytes that the caller has not sent
-// before, and notes them.
-func (f *hostFlow) advances(s *Segment) bool {
+// advanceRequest reports whether a segment carries bytes beyond requestEnd, and moves
+// requestEnd after them.
+func (f *backendFlow) advanceRequest(s *Segment) bool {
 	end := s.Seq + uint32(s.Length)
-	if int32(end-f.asked) <= 0 && f.asked != 0 {
+	if int32(end-f.requestEnd) <= 0 && f.requestEnd != 0 {
 		return false
 	}
-	f.asked = end
+	f.requestEnd = end
 	return true
 }
 
-// setRunning notes whether a flow's caller waits for an answer.
-func (h *Agent) setRunning(f *hostFlow, running bool) {
+// setRunning sets whether a flow has a running request, and updates the count.
+func (a *Agent) setRunning(f *backendFlow, running bool) {
 	switch {
-	case running && !f.running:
-		h.running++
-	case !running && f.running:
-		h.running--
+	case running && !f.isRunning:
+		a.runningRequests++
+	case !running && f.isRunning:
+		a.runningRequests--
 	}
-	f.running = running
+	f.isRunning = running
 }
 
-// remember stores an arrival until its segment may bounce. Tokens are never 0.
-func (h *Agent) remember(a ForwardInfo) uint32 {
-	h.next++
-	if h.next == 0 {
-		h.next = 1
+// recordDelivery stores the origin of a delivered segment in case it bounces, and
+// returns a token that is never 0.
+func (a *Agent) recordDelivery(info ForwardInfo) uint32 {
+	a.lastToken++
+	if a.lastToken == 0 {
+		a.lastToken = 1
 	}
-	h.pending[h.next%pendingSize] = pending{token: h.next, arrival: a}
-	return h.next
+	a.deliveries[a.lastToken%maxDeliveries] = delivery{token: a.lastToken, forwardInfo: info}
+	return a.lastToken
 }
 
-// HandleBounce returns how a segment that the backend server does not take had come.
-// It is false where that is forgotten.
-func (h *Agent) HandleBounce(s *Segment, token uint32) (ForwardInfo, bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.silence = 0
+// HandleBounce returns how a segment that the backend server has bounced was forwarded.
+// It returns false if the delivery is no longer on record.
+func (a *Agent) HandleBounce(s *Segment, token uint32) (ForwardInfo, bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.silence = 0
 	id := s.Tuple.ID()
-	h.forget(id)
-	delete(h.probes, id)
-	p := h.pending[token%pendingSize]
-	return p.arrival, token != 0 && p.token == token
+	a.removeFlow(id)
+	delete(a.probes, id)
+	d := a.deliveries[token%maxDeliveries]
+	return d.forwardInfo, token != 0 && d.token == token
 }
 
-func (h *Agent) forget(id flow.ID) {
-	f := h.flows[id]
+func (a *Agent) removeFlow(id flow.ID) {
+	f := a.flows[id]
 	if f == nil {
 		return
 	}
-	h.setRunning(f, false)
-	delete(h.flows, id)
+	a.setRunning(f, false)
+	delete(a.flows, id)
 }
 
-// ObserveReply notes a segment of the backend server. It returns the balancer that is to
-// be told that the flow is here, if any.
-func (h *Agent) ObserveReply(now time.Duration, s *Segment) (tell netip.AddrPort) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.silence = 0
+// ObserveReply updates a flow by a segment of the backend server. It returns the
+// balancer to notify that the flow is owned here, if any.
+func (a *Agent) ObserveReply(now time.Duration, s *Segment) (notify netip.AddrPort) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.silence = 0
 	id := s.Tuple.ID()
 	if s.HasFlags(RST) {
-		h.forget(id)
+		a.removeFlow(id)
 		return netip.AddrPort{}
 	}
-	f := h.held(now, id)
+	f := a.touchFlow(now, id)
 	if s.Length > 0 {
-		h.setRunning(f, false)
+		a.setRunning(f, false)
 	}
-	f.hostFIN = f.hostFIN || s.HasFlags(FIN)
+	f.backendFIN = f.backendFIN || s.HasFlags(FIN)
 	if s.HasFlags(SYN) {
-		h.setRunning(f, true) // its caller is about to ask
+		a.setRunning(f, true) // the caller's request is about to arrive
 		return f.balancer
 	}
-	tell = h.probes[id]
-	delete(h.probes, id)
-	return tell
+	notify = a.probes[id]
+	delete(a.probes, id)
+	return notify
 }
 
-// Tick lets time pass: it counts the backend server's silence and forgets flows
-// that have ended. It reports whether the backend server has just ended.
-func (h *Agent) Tick(now time.Duration) (ended bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	before := h.ended()
-	h.silence += min(now-h.ticked, longestStep)
-	h.ticked = now
-	for id, f := range h.flows {
-		age := now - f.seen
-		if f.running && f.asked == 0 && age > openingTime {
-			h.setRunning(f, false)
+// Tick advances the backend server's silence and removes closed and idle flows. It
+// reports whether the silence timeout has just expired.
+func (a *Agent) Tick(now time.Duration) (wentDown bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	wasDown := a.isDown()
+	a.silence += min(now-a.lastTick, maxSilencePerTick)
+	a.lastTick = now
+	for id, f := range a.flows {
+		age := now - f.lastSeen
+		if f.isRunning && f.requestEnd == 0 && age > openingTime {
+			a.setRunning(f, false)
 		}
-		if age > h.idle || f.hostFIN && f.callerFIN && age > closedTime {
-			h.forget(id)
+		if age > a.idleTimeout || f.backendFIN && f.callerFIN && age > closedFlowTTL {
+			a.removeFlow(id)
 		}
 	}
-	return h.ended() && !before
+	return a.isDown() && !wasDown
 }
--- a/core/steer/loads.go
+++ b/core/steer/loads.go
@@ -9,226 +9,228 @@
 	"fulmarmount.org/core/view"
 )
 
-// Load is what a host reports of its backend server.
+// Load is an agent's report of the load of its backend server.
 type Load struct {
 	// Flows is the number of open flows.
 	Flows uint32 `cbor:"1,keyasint"`
-	// RunningRequests is the number of requests that wait for their answer.
+	// RunningRequests is the number of requests whose response is pending.
 	RunningRequests uint32 `cbor:"2,keyasint"`
 }
 
 const (
-	// suspicionTime is how long a member gets no new flows after it has left a
-	// SYN unanswered.
-	suspicionTime = 1 * time.Second
+	// suspectTime is how long a member gets no new flows after it has left a SYN
+	// unanswered or refused it.
+	suspectTime = 1 * time.Second
 	// flowCost is the load of an open flow without a running request, in
 	// thousandths of a running request.
 	flowCost = 250
-	// requestCost is the load of a running request in the same unit.
+	// requestCost is the load of a running request, in the unit of flowCost.
 	requestCost = 1000
-	// placedTime is how long a flow that was just placed counts beside the
-	// reports, which may not have it yet.
-	placedTime = 100 * time.Millisecond
-	// reportTime is how long a report holds. Agents tell an unchanged load more
-	// often to whoever sends them packets.
-	reportTime = 3 * time.Second
-	// zoneGain is the load in thousandths of a request a slot that a way within
-	// the zone is worth.
-	zoneGain = 150
-	// fullAt is the number of requests in tenths of a slot with which a member is
-	// full for a first SYN: those beyond the slots wait, for as long as a request
-	// takes or little more.
-	fullAt = 22
-	// copyFullAt is the same for the copies of a SYN: they get free slots alone.
-	copyFullAt = 10
+	// placementTime is how long a placed flow is counted in addition to the reports,
+	// which may not include it yet.
+	placementTime = 100 * time.Millisecond
+	// reportTTL is how long a report is valid. Agents report an unchanged load more
+	// often than that to the balancers that send them packets.
+	reportTTL = 3 * time.Second
+	// crossZonePenalty is added to the load of members in other availability zones, in
+	// thousandths of a running request per slot.
+	crossZonePenalty = 150
+	// firstSYNLimit is the number of requests per slot, in tenths, from which a member
+	// is overloaded for a first SYN. Requests beyond the slots are queued, for about the
+	// duration of one request.
+	firstSYNLimit = 22
+	// retransmitLimit is the same for retransmitted SYNs: they get free slots only.
+	retransmitLimit = 10
 )
 
-// loads holds the newest report of each member and what was placed since.
-type loads struct {
-	mu   sync.Mutex
-	byID map[loadKey]*memberLoad
+// loadTracker holds the latest load report of each member and the flows placed since.
+type loadTracker struct {
+	mu       sync.Mutex
+	byMember map[memberKey]*memberLoad
 }
 
-type loadKey struct {
+type memberKey struct {
 	service view.ServiceID
 	seed    uint64
 }
 
 type memberLoad struct {
-	report    Load
-	at        time.Duration
-	placed    []time.Duration
-	suspected time.Duration // until when
-	// silent is set where the member has left a question unanswered.
-	silent bool
+	report         Load
+	reportedAt     time.Duration
+	placedAt       []time.Duration // of the flows not yet confirmed
+	suspectedUntil time.Duration
+	// isUnresponsive is set if the member has left a probe unanswered.
+	isUnresponsive bool
 }
 
-func newLoads() *loads { return &loads{byID: make(map[loadKey]*memberLoad)} }
+func newLoadTracker() *loadTracker { return &loadTracker{byMember: make(map[memberKey]*memberLoad)} }
 
-func (l *loads) of(m *member) *memberLoad {
-	key := loadKey{m.service, m.peer.Seed}
-	found := l.byID[key]
+func (l *loadTracker) loadOf(m *member) *memberLoad {
+	key := memberKey{m.service, m.peer.Seed}
+	found := l.byMember[key]
 	if found == nil {
 		found = &memberLoad{}
-		l.byID[key] = found
+		l.byMember[key] = found
 	}
 	return found
 }
 
-// report takes a report. The member has answered, so it is not suspected.
-func (l *loads) report(now time.Duration, m *member, load Load) {
+// report stores a load report. As the member has responded, it is no longer suspect or
+// unresponsive.
+func (l *loadTracker) report(now time.Duration, m *member, load Load) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	found := l.of(m)
-	found.report, found.at, found.suspected, found.silent = load, now, 0, false
+	found := l.loadOf(m)
+	found.report, found.reportedAt, found.suspectedUntil, found.isUnresponsive = load, now, 0, false
 }
 
-// suspect keeps new flows from a member for a while.
-func (l *loads) suspect(now time.Duration, m *member) {
+// suspect excludes a member from placement for suspectTime.
+func (l *loadTracker) suspect(now time.Duration, m *member) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.of(m).suspected = now + suspicionTime
+	l.loadOf(m).suspectedUntil = now + suspectTime
 }
 
-// unanswered notes that a member has not answered a question.
-func (l *loads) unanswered(m *member) {
+// markUnresponsive records that a member has left a probe unanswered.
+func (l *loadTracker) markUnresponsive(m *member) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.of(m).silent = true
+	l.loadOf(m).isUnresponsive = true
 }
 
-// answered notes that a member was heard.
-func (l *loads) answered(service view.ServiceID, seed uint64) {
+// markResponsive records that a member has returned a segment.
+func (l *loadTracker) markResponsive(service view.ServiceID, seed uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if found := l.byID[loadKey{service, seed}]; found != nil {
-		found.silent = false
+	if found := l.byMember[memberKey{service, seed}]; found != nil {
+		found.isUnresponsive = false
 	}
 }
 
-// held notes that a member was heard and has a flow that was placed: its reports
-// count the flow from now on.
-func (l *loads) held(service view.ServiceID, seed uint64) {
+// confirmPlacement records that a member has confirmed a flow. Its load reports include
+// the flow from now on, so one placement is no longer counted separately.
+func (l *loadTracker) confirmPlacement(service view.ServiceID, seed uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	found := l.byID[loadKey{service, seed}]
+	found := l.byMember[memberKey{service, seed}]
 	if found == nil {
 		return
 	}
-	found.silent = false
-	if len(found.placed) > 0 {
-		found.placed = found.placed[1:]
+	found.isUnresponsive = false
+	if len(found.placedAt) > 0 {
+		found.placedAt = found.placedAt[1:]
 	}
 }
 
-// silentLast moves members that are silent, gone or have left behind the others.
-func (l *loads) silentLast(holders []*member) {
+// sortUnresponsiveLast moves members that are unresponsive, gone or removed from their
+// view behind the others.
+func (l *loadTracker) sortUnresponsiveLast(members []*member) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	rank := func(m *member) int {
-		found := l.byID[loadKey{m.service, m.peer.Seed}]
-		if m.gone || m.left > 0 || found != nil && found.silent {
+		found := l.byMember[memberKey{m.service, m.peer.Seed}]
+		if m.isGone || m.removedAt > 0 || found != nil && found.isUnresponsive {
 			return 1
 		}
 		return 0
 	}
-	slices.SortStableFunc(holders, func(a, b *member) int { return cmp.Compare(rank(a), rank(b)) })
+	slices.SortStableFunc(members, func(a, b *member) int { return cmp.Compare(rank(a), rank(b)) })
 }
 
-// keep forgets the members that are in no table any more.
-func (l *loads) keep(t *Table) {
+// prune deletes the loads of members that t does not contain.
+func (l *loadTracker) prune(t *Table) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for key := range l.byID {
-		if t.find(key.service, key.seed) == nil {
-			delete(l.byID, key)
+	for key := range l.byMember {
+		if t.findMember(key.service, key.seed) == nil {
+			delete(l.byMember, key)
 		}
 	}
 }
 
-// choose returns the member with the least load among candidates, which take new
-// flows, that is not suspected, and notes that a flow is placed there. Where all are
-// suspected, it is the first. A member of the balancer's own zone is taken to have
-// zoneGain less load.
-func (l *loads) choose(now time.Duration, candidates []*member, zone string) *member {
+// selectLeastLoaded returns the candidate with the least load that is not suspect, and
+// records the placement of a flow on it. If all are suspect it returns the first. All
+// candidates must accept new flows. crossZonePenalty makes it prefer members in zone.
+func (l *loadTracker) selectLeastLoaded(now time.Duration, candidates []*member, zone string) *member {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var best, spare *member
+	var best, fallback *member
 	var least uint64
 	for _, m := range candidates {
-		if spare == nil {
-			spare = m
+		if fallback == nil {
+			fallback = m
 		}
-		found := l.of(m)
-		if found.suspected > now {
+		found := l.loadOf(m)
+		if found.suspectedUntil > now {
 			continue
 		}
 		load := found.cost(now, m)
 		if m.zone != zone {
-			load += zoneGain
+			load += crossZonePenalty
 		}
 		if best == nil || load < least {
 			best, least = m, load
 		}
 	}
 	if best == nil {
-		best = spare
+		best = fallback
 	}
 	if best != nil {
-		found := l.of(best)
-		found.placed = append(found.placed, now)
+		found := l.loadOf(best)
+		found.placedAt = append(found.placedAt, now)
 	}
 	return best
 }
 
-// full reports whether every member that takes new flows has as many requests as it
-// should for a SYN that is the copy of so many.
-func (l *loads) full(now time.Duration, members []member, copies uint32) bool {
-	limit := fullAt
-	if copies > 0 {
-		limit = copyFullAt
+// allOverloaded reports whether there are members that accept new flows and all of them
+// have reached the limit for a SYN with that number of retransmissions.
+func (l *loadTracker) allOverloaded(now time.Duration, members []member, retransmits uint32) bool {
+	limit := firstSYNLimit
+	if retransmits > 0 {
+		limit = retransmitLimit
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	taking := false
+	anyAccepts := false
 	for i := range members {
 		m := &members[i]
-		if !m.takes {
+		if !m.acceptsNew {
 			continue
 		}
-		taking = true
-		found := l.of(m)
-		if (int(found.newest(now).RunningRequests)+found.recent(now))*10 < int(m.slots)*limit {
+		anyAccepts = true
+		found := l.loadOf(m)
+		if (int(found.validReport(now).RunningRequests)+found.recentPlacements(now))*10 < int(m.slots)*limit {
 			return false
 		}
 	}
-	return taking
+	return anyAccepts
 }
 
-// newest returns the report that holds, or none.
-func (f *memberLoad) newest(now time.Duration) Load {
-	if now-f.at > reportTime {
+// validReport returns the latest report, or a zero Load if it has expired.
+func (f *memberLoad) validReport(now time.Duration) Load {
+	if now-f.reportedAt > reportTTL {
 		return Load{}
 	}
 	return f.report
 }
 
-// recent returns the number of flows that were placed since the report.
-func (f *memberLoad) recent(now time.Duration) int {
+// recentPlacements returns the number of unconfirmed flows that were placed within
+// placementTime, and forgets older ones.
+func (f *memberLoad) recentPlacements(now time.Duration) int {
 	recent := 0
-	for i, at := range f.placed {
-		if now-at <= placedTime {
-			recent = len(f.placed) - i
+	for i, at := range f.placedAt {
+		if now-at <= placementTime {
+			recent = len(f.placedAt) - i
 			break
 		}
 	}
-	f.placed = f.placed[len(f.placed)-recent:]
+	f.placedAt = f.placedAt[len(f.placedAt)-recent:]
 	return recent
 }
 
-// cost returns the load of one slot at full weight, in thousandths of a request.
+// cost returns the load per slot at full weight, in thousandths of a running request.
 func (f *memberLoad) cost(now time.Duration, m *member) uint64 {
-	report := f.newest(now)
-	total := uint64(report.Flows)*flowCost + (uint64(report.RunningRequests)+uint64(f.recent(now)))*requestCost
+	report := f.validReport(now)
+	total := uint64(report.Flows)*flowCost + (uint64(report.RunningRequests)+uint64(f.recentPlacements(now)))*requestCost
 	return total * view.FullWeight / (uint64(m.slots) * uint64(max(m.weight, 1)))
 }
--- a/core/steer/owners.go
+++ b/core/steer/owners.go
@@ -9,93 +9,95 @@
 )
 
 const (
-	ownerShards = 16
-	// generationTime is how long an owner is remembered at least after its last
-	// use; at most it is twice that.
+	shardCount = 16
+	// generationTime is the least time that an owner stays cached after its last use;
+	// the most is twice that.
 	generationTime = 20 * time.Second
-	// maxOwners bounds one generation of one shard.
+	// maxOwners bounds the entries in one generation of one shard.
 	maxOwners = 8192
 )
 
-// owner is the member that a flow was sent to.
+// owner is the member that a flow was forwarded to.
 type owner struct {
 	service view.ServiceID
 	seed    uint64
-	// confirmed is set once the member's host has said that it holds the flow.
+	// confirmed is set once the member's agent has reported that it owns the flow.
 	confirmed bool
-	// copies counts the copies of the SYN that were sent there.
-	copies uint32
+	// retransmits is the highest Segment.Retransmits of the SYNs that were forwarded
+	// to the member.
+	retransmits uint32
 }
 
-// owners remembers the members of flows in two generations: what is used moves
-// to the newer one, the older one is dropped whole.
-type owners struct {
-	shards [ownerShards]ownerShard
+// ownerCache caches the owners of flows in two generations. An entry that is used
+// moves to the current generation; the previous one is discarded as a whole.
+type ownerCache struct {
+	shards [shardCount]ownerShard
 }
 
 type ownerShard struct {
-	mu       sync.Mutex
-	turned   time.Duration
-	new, old map[flow.ID]owner
+	mu                sync.Mutex
+	rotatedAt         time.Duration
+	current, previous map[flow.ID]owner
 }
 
-func newOwners() *owners {
-	o := &owners{}
+func newOwnerCache() *ownerCache {
+	o := &ownerCache{}
 	for i := range o.shards {
-		o.shards[i].new = make(map[flow.ID]owner)
+		o.shards[i].current = make(map[flow.ID]owner)
 	}
 	return o
 }
 
-func (o *owners) shard(id flow.ID) *ownerShard { return &o.shards[id.Key%ownerShards] }
+func (o *ownerCache) shard(id flow.ID) *ownerShard { return &o.shards[id.Key%shardCount] }
 
-func (o *owners) get(now time.Duration, id flow.ID) (owner, bool) {
+func (o *ownerCache) get(now time.Duration, id flow.ID) (owner, bool) {
 	s := o.shard(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.turn(now)
-	if found, ok := s.new[id]; ok {
+	s.rotate(now)
+	if found, ok := s.current[id]; ok {
 		return found, true
 	}
-	found, ok := s.old[id]
+	found, ok := s.previous[id]
 	if ok {
-		s.new[id] = found
+		s.current[id] = found
 	}
 	return found, ok
 }
 
-func (o *owners) set(now time.Duration, id flow.ID, to owner) {
+func (o *ownerCache) set(now time.Duration, id flow.ID, to owner) {
 	s := o.shard(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.turn(now)
-	s.new[id] = to
+	s.rotate(now)
+	s.current[id] = to
 }
 
-func (o *owners) drop(id flow.ID) {
+func (o *ownerCache) remove(id flow.ID) {
 	s := o.shard(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.new, id)
-	delete(s.old, id)
+	delete(s.current, id)
+	delete(s.previous, id)
 }
 
-// turn begins a new generation where the current one is old or full. The caller
-// holds the lock.
-func (s *ownerShard) turn(now time.Duration) {
-	if now-s.turned < generationTime && len(s.new) < maxOwners {
+// rotate starts a new generation if the current one is old or full. The caller must
+// hold s.mu.
+func (s *ownerShard) rotate(now time.Duration) {
+	if now-s.rotatedAt < generationTime && len(s.current) < maxOwners {
 		return
 	}
-	s.old, s.new, s.turned = s.new, make(map[flow.ID]owner), now
+	s.previous, s.current, s.rotatedAt = s.current, make(map[flow.ID]owner), now
 }
 
-// count returns the number of remembered flows.
-func (o *owners) count() int {
+// count returns the number of cached owners. A flow that is in both generations counts
+// twice.
+func (o *ownerCache) count() int {
 	n := 0
 	for i := range o.shards {
 		s := &o.shards[i]
 		s.mu.Lock()
-		n += len(s.new) + len(s.old)
+		n += len(s.current) + len(s.previous)
 		s.mu.Unlock()
 	}
 	return n
--- a/core/steer/searches.go
+++ b/core/steer/searches.go
@@ -9,35 +9,34 @@
 )
 
 const (
-	// answerTime is how long a member that is asked for a flow may take.
-	answerTime = 60 * time.Millisecond
-	// searchTime is how long a search is remembered after its last question.
-	searchTime = 2 * time.Second
-	// maxOverdue bounds the searches that go on by themselves at a time. One member
-	// that is gone holds up few, as it is asked last from then on; many mean that
-	// answers are late because there is too much to do, and more questions would
-	// make that worse.
+	// probeTimeout is how long a balancer waits for the answer to a probe.
+	probeTimeout = 60 * time.Millisecond
+	// searchTTL is how long a search is kept after its last probe.
+	searchTTL = 2 * time.Second
+	// maxOverdue bounds the searches that are resumed at a time without a segment from
+	// the caller. A failed member delays few searches, as it is probed last from then
+	// on. Many overdue searches mean that answers are late because of overload, and
+	// more probes would add to it.
 	maxOverdue = 4
 	// maxSearches bounds the searches of one shard.
 	maxSearches = 4096
 )
 
-// search is the questions after one flow.
+// search is the state of the search for the owner of one flow.
 type search struct {
-	// asked are the seeds of the members that were asked, the last of them the
-	// one whose answer is awaited.
-	asked []uint64
-	at    time.Duration
-	// unanswered is set where a member has not answered in time.
-	unanswered bool
+	// probed are the seeds of the probed members. The probe of the last one is pending.
+	probed   []uint64
+	probedAt time.Duration
+	// timedOut is set if a probe was not answered in time.
+	timedOut bool
 }
 
-// awaits returns the seed of the member whose answer is awaited.
-func (s *search) awaits() uint64 { return s.asked[len(s.asked)-1] }
+// pendingProbe returns the seed of the member whose answer is pending.
+func (s *search) pendingProbe() uint64 { return s.probed[len(s.probed)-1] }
 
-// searches are the flows that are looked for.
-type searches struct {
-	shards [ownerShards]searchShard
+// searchTable holds the searches in progress.
+type searchTable struct {
+	shards [shardCount]searchShard
 }
 
 type searchShard struct {
@@ -45,72 +44,73 @@
 	byFlow map[flow.ID]*search
 }
 
-func newSearches() *searches {
-	s := &searches{}
+func newSearchTable() *searchTable {
+	s := &searchTable{}
 	for i := range s.shards {
 		s.shards[i].byFlow = make(map[flow.ID]*search)
 	}
 	return s
 }
 
-// step is what comes next in a search.
-type step struct {
+// probe is the next step of a search.
+type probe struct {
+	// member is the member to forward the segment to; nil if all were probed.
 	member *member
 	hops   uint8
-	// silent is a member that has not answered in time, or nil.
-	silent *member
-	// complete is set where every member has answered.
-	complete bool
+	// unresponsive is the member whose probe has just timed out, or nil.
+	unresponsive *member
+	// allAnswered is set once every member was probed and has answered.
+	allAnswered bool
 }
 
-// next returns the member to send a segment of the flow to; nil where all were
-// asked. denied is the seed of the member that has just returned the segment, 0
-// for a segment from the caller.
-func (s *searches) next(now time.Duration, id flow.ID, holders []*member, denied uint64) step {
-	shard := &s.shards[id.Key%ownerShards]
+// nextProbe selects the member to forward a segment of the flow to. returnedBy is the
+// seed of the member that has just returned the segment, or 0 for a segment from the
+// caller. While an answer is pending, segments from the caller follow the pending probe.
+func (s *searchTable) nextProbe(now time.Duration, id flow.ID, members []*member, returnedBy uint64) probe {
+	shard := &s.shards[id.Key%shardCount]
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
 	found := shard.byFlow[id]
-	if found == nil || now-found.at > searchTime {
+	if found == nil || now-found.probedAt > searchTTL {
 		found = &search{}
 		shard.put(now, id, found)
 	}
-	var out step
-	if len(found.asked) > 0 {
-		current := memberOf(holders, found.awaits())
-		late := now-found.at > answerTime
-		if found.awaits() != denied && !late && current != nil {
-			return step{member: current, hops: uint8(len(found.asked) - 1)}
+	var out probe
+	if len(found.probed) > 0 {
+		current := memberWithSeed(members, found.pendingProbe())
+		late := now-found.probedAt > probeTimeout
+		if found.pendingProbe() != returnedBy && !late && current != nil {
+			return probe{member: current, hops: uint8(len(found.probed) - 1)}
 		}
-		if found.awaits() != denied {
-			found.unanswered, out.silent = true, current
+		if found.pendingProbe() != returnedBy {
+			found.timedOut, out.unresponsive = true, current
 		}
 	}
-	for _, m := range holders {
-		if slices.Contains(found.asked, m.peer.Seed) {
+	for _, m := range members {
+		if slices.Contains(found.probed, m.peer.Seed) {
 			continue
 		}
-		found.asked, found.at = append(found.asked, m.peer.Seed), now
-		out.member, out.hops = m, uint8(len(found.asked)-1)
+		found.probed, found.probedAt = append(found.probed, m.peer.Seed), now
+		out.member, out.hops = m, uint8(len(found.probed)-1)
 		return out
 	}
 	delete(shard.byFlow, id)
-	out.complete = !found.unanswered
+	out.allAnswered = !found.timedOut
 	return out
 }
 
-// overdue returns the flows whose awaited answers are late, and forgets searches
-// that nobody goes on with.
-func (s *searches) overdue(now time.Duration) []flow.ID {
+// overdue returns up to maxOverdue flows whose pending probe has timed out, and removes
+// expired searches.
+func (s *searchTable) overdue(now time.Duration) []flow.ID {
 	var out []flow.ID
 	for i := range s.shards {
 		shard := &s.shards[i]
 		shard.mu.Lock()
 		for id, found := range shard.byFlow {
-			switch waited := now - found.at; {
-			case waited > searchTime:
+			switch waited := now - found.probedAt; {
+			case waited > searchTTL:
 				delete(shard.byFlow, id)
-			case waited > answerTime && len(out) < maxOverdue:
+			case waited > probeTimeout && len(out) < maxOverdue:
 				out = append(out, id)
 			}
 		}
@@ -119,31 +119,32 @@
 	return out
 }
 
-// end forgets a search whose flow was found.
-func (s *searches) end(id flow.ID) {
-	shard := &s.shards[id.Key%ownerShards]
+// remove ends the search for a flow whose owner was found.
+func (s *searchTable) remove(id flow.ID) {
+	shard := &s.shards[id.Key%shardCount]
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
 	delete(shard.byFlow, id)
 }
 
-// put stores a search and makes room for it. The caller holds the lock.
-func (s *searchShard) put(now time.Duration, id flow.ID, found *search) {
+// put stores a search. If the shard is full it removes the expired searches, and then
+// all of them if it is still full. The caller must hold s.mu.
+func (s *searchShard) put(now time.Duration, id flow.ID, added *search) {
 	if len(s.byFlow) >= maxSearches {
 		for old, o := range s.byFlow {
-			if now-o.at > searchTime {
+			if now-o.probedAt > searchTTL {
 				delete(s.byFlow, old)
 			}
 		}
 	}
 	if len(s.byFlow) >= maxSearches {
-		clear(s.byFlow) // each goes on with the next segment of its flow
+		clear(s.byFlow) // each search restarts with the next segment of its flow
 	}
-	s.byFlow[id] = found
+	s.byFlow[id] = added
 }
 
-func memberOf(holders []*member, seed uint64) *member {
-	for _, m := range holders {
+func memberWithSeed(members []*member, seed uint64) *member {
+	for _, m := range members {
 		if m.peer.Seed == seed {
 			return m
 		}
--- a/core/steer/segment.go
+++ b/core/steer/segment.go
@@ -1,11 +1,12 @@
-// Package steer decides where segments go: packets that name their flow, its
-// transport flags and sequence numbers, so that no process between the two ends
-// has to keep a connection.
+// Package steer decides where the segments of flows are forwarded. Every segment
+// carries its flow's addresses, transport flags and sequence numbers, so no process
+// between caller and backend server needs connection state to route it.
 //
-// The backend server alone knows which flows it holds. A Balancer places a flow
-// by load when its first segment arrives, and finds it again by asking the
-// members of the service in a fixed order. A Host, beside each backend server,
-// hands segments over and returns those that its backend server does not hold.
+// The backend server alone knows which flows it owns. A Balancer places a new flow by
+// load when its SYN arrives. If it has no cached owner for a later segment, it probes
+// the members of the service in a fixed order until one owns the flow. An Agent, beside
+// each backend server, delivers segments and returns those of flows that its backend
+// server does not own.
 package steer
 
 import (
@@ -27,22 +28,24 @@
 
 // Segment is the header of one packet of a flow.
 type Segment struct {
-	// Tuple names the flow, whichever end has sent the segment.
+	// Tuple identifies the flow and is the same in both directions.
 	Tuple flow.Tuple
 	Flags Flags
-	// Seq and Ack are the sequence numbers of the sender's and the peer's bytes.
+	// Seq is the sequence number of the segment's first byte, Ack the acknowledgement
+	// number.
 	Seq, Ack uint32
-	// Retransmits counts the earlier copies of a SYN; 0 for the first.
+	// Retransmits is the number of times that the SYN has been sent before; 0 for the
+	// first.
 	Retransmits uint32
-	// Length is the number of bytes that the segment carries.
+	// Length is the payload's length in bytes.
 	Length int
 }
 
-// HasFlags reports whether every one of flags is set.
+// HasFlags reports whether all of flags are set.
 func (s *Segment) HasFlags(flags Flags) bool { return s.Flags&flags == flags }
 
-// OpensFlow reports whether the segment asks for a new flow.
+// OpensFlow reports whether the segment is a SYN without an ACK, which opens a flow.
 func (s *Segment) OpensFlow() bool { return s.Flags&(SYN|ACK) == SYN }
 
-// MaxFlowLifetime is the longest that a flow lives.
+// MaxFlowLifetime is the longest lifetime of a flow.
 const MaxFlowLifetime = 60 * time.Second
--- a/core/steer/surge_test.go
+++ b/core/steer/surge_test.go
@@ -12,69 +12,69 @@
 	"fulmarmount.org/core/view"
 )
 
-// The load that all callers at once put on backend servers that have just
-// started: what waited through an outage beside what arrives anew.
+// The simulated load on backend servers that have just started after an outage: all the
+// callers that waited through it, and new callers at a steady rate.
 const (
-	surgeServers = 6
-	surgeSlots   = 4
-	surgeQueue   = 16
-	surgeCold    = 51 * time.Millisecond // work of a backend server that has just started
-	surgeWarm    = 32 * time.Millisecond
-	surgeWarmAt  = time.Second
-	surgeRate    = 400 // new callers a second
-	surgeOutage  = 1500 * time.Millisecond
-	surgeFor     = 2 * time.Second // from the end of the outage
-	surgeWaiting = int(surgeRate * surgeOutage / time.Second)
-	surgeAim     = 200 * time.Millisecond
-	surgeReport  = 100 * time.Millisecond
-	surgeBudget  = 1500 * time.Millisecond
-	surgeTries   = 3
-	surgeTrip    = 12 * time.Millisecond // from a refusal to the next try
+	surgeServers        = 6
+	surgeSlots          = 4
+	surgeQueue          = 16
+	surgeColdTime       = 51 * time.Millisecond // service time of a backend server that has just started
+	surgeWarmTime       = 32 * time.Millisecond
+	surgeWarmAt         = time.Second
+	surgeRate           = 400 // new callers a second
+	surgeOutage         = 1500 * time.Millisecond
+	surgeDuration       = 2 * time.Second // new callers, from the end of the outage
+	surgeWaitingCallers = int(surgeRate * surgeOutage / time.Second)
+	surgeTarget         = 200 * time.Millisecond
+	surgeReportInterval = 100 * time.Millisecond
+	surgeTimeout        = 1500 * time.Millisecond
+	surgeMaxAttempts    = 3
+	surgeRetryDelay     = 12 * time.Millisecond // from a rejection to the next attempt
 )
 
-// attempt is a SYN on its way to the balancer.
+// attempt is the next SYN of one attempt of a caller.
 type attempt struct {
-	at    time.Duration
-	n     int
-	copy  uint32
-	began time.Duration // of the first SYN of this try
-	tries int           // before this one
+	at              time.Duration
+	caller          int
+	retransmits     uint32
+	startedAt       time.Duration // arrival of the attempt's first SYN
+	earlierAttempts int
 }
 
-// surge plays the load against a policy.
+// surge simulates the load under a placement policy.
 type surge struct {
-	policy  func(now time.Duration, s *Segment) Decision
-	report  func(now time.Duration, seed uint64, load Load)
-	first   []time.Duration // of each caller's SYN
-	pending []attempt
-	// free holds when each slot of a server is free, waiting the ends of the work
-	// that a server has taken.
-	free  map[uint64][]time.Duration
-	taken map[uint64][]time.Duration
-	// served and inAim count callers, fresh those in aim that did not wait through
-	// the outage.
-	served, inAim, fresh int
+	policy    func(now time.Duration, s *Segment) Decision
+	report    func(now time.Duration, seed uint64, load Load)
+	firstSYNs []time.Duration // arrival of each caller's first SYN
+	pending   []attempt
+	// slotFreeAt holds when each slot of a server becomes free, finishAt when each of its
+	// requests finishes.
+	slotFreeAt map[uint64][]time.Duration
+	finishAt   map[uint64][]time.Duration
+	// served counts the callers answered before their timeout, inTarget those answered
+	// within surgeTarget, and newInTarget those of them that arrived after the outage.
+	served, inTarget, newInTarget int
 }
 
 func newSurge(seed uint64) *surge {
 	random := rand.New(rand.NewPCG(seed, 1))
-	s := &surge{free: make(map[uint64][]time.Duration), taken: make(map[uint64][]time.Duration)}
+	s := &surge{slotFreeAt: make(map[uint64][]time.Duration), finishAt: make(map[uint64][]time.Duration)}
 	for n := range surgeServers {
-		s.free[view.SeedOf(server(n+1).ID)] = make([]time.Duration, surgeSlots)
+		s.slotFreeAt[view.SeedOf(server(n+1).ID)] = make([]time.Duration, surgeSlots)
 	}
-	for range surgeWaiting {
-		s.first = append(s.first, -time.Duration(random.Int64N(int64(surgeOutage))))
+	for range surgeWaitingCallers {
+		s.firstSYNs = append(s.firstSYNs, -time.Duration(random.Int64N(int64(surgeOutage))))
 	}
-	for range int(surgeRate * surgeFor / time.Second) {
-		s.first = append(s.first, time.Duration(random.Int64N(int64(surgeFor))))
+	for range int(surgeRate * surgeDuration / time.Second) {
+		s.firstSYNs = append(s.firstSYNs, time.Duration(random.Int64N(int64(surgeDuration))))
 	}
-	for n, at := range s.first {
-		s.pending = append(s.pending, attempt{at: at, n: n, began: at})
+	for n, at := range s.firstSYNs {
+		s.pending = append(s.pending, attempt{at: at, caller: n, startedAt: at})
 	}
 	return s
 }
 
-func (s *surge) play() {
+func (s *surge) run() {
 	nextReport := time.Duration(0)
 	for len(s.pending) > 0 {
 		i := 0
@@ -85,103 +85,107 @@
 		}
 		a := s.pending[i]
 		s.pending = slices.Delete(s.pending, i, i+1)
-		for ; nextReport <= a.at; nextReport += surgeReport {
-			for seed := range s.free {
+		for ; nextReport <= a.at; nextReport += surgeReportInterval {
+			for seed := range s.slotFreeAt {
 				s.report(nextReport, seed, Load{RunningRequests: uint32(s.running(seed, nextReport))})
 			}
 		}
-		s.try(a)
+		s.deliver(a)
 	}
 }
 
 func (s *surge) running(seed uint64, now time.Duration) int {
-	s.taken[seed] = slices.DeleteFunc(s.taken[seed], func(end time.Duration) bool { return end <= now })
-	return len(s.taken[seed])
+	s.finishAt[seed] = slices.DeleteFunc(s.finishAt[seed], func(end time.Duration) bool { return end <= now })
+	return len(s.finishAt[seed])
 }
 
-// try places one SYN. One that is dropped is sent again, and one that is reset or
-// shed is tried anew from another port, as callers do.
-func (s *surge) try(a attempt) {
+// deliver passes one SYN to the policy. As callers do, it retransmits a dropped SYN, and
+// makes a new attempt from another port after a reset or a full server.
+func (s *surge) deliver(a attempt) {
 	if a.at < 0 {
-		s.sendAgain(a) // nobody answers in the outage
+		s.retransmit(a) // no process answers during the outage
 		return
 	}
-	segment := syn(a.n + a.tries*len(s.first))
-	segment.Retransmits = a.copy
+	segment := syn(a.caller + a.earlierAttempts*len(s.firstSYNs))
+	segment.Retransmits = a.retransmits
 	d := s.policy(a.at, segment)
 	to := d.To
 	switch {
 	case d.Verdict == Drop:
-		s.sendAgain(a)
+		s.retransmit(a)
 		return
 	case d.Verdict == Reset, s.running(to.Seed, a.at) >= surgeSlots+surgeQueue:
-		s.tryAnew(a)
+		s.retry(a)
 		return
 	}
-	slot := slices.Index(s.free[to.Seed], slices.Min(s.free[to.Seed]))
-	start := max(s.free[to.Seed][slot], a.at)
-	end := start + surgeCold
+	slot := slices.Index(s.slotFreeAt[to.Seed], slices.Min(s.slotFreeAt[to.Seed]))
+	start := max(s.slotFreeAt[to.Seed][slot], a.at)
+	end := start + surgeColdTime
 	if start >= surgeWarmAt {
-		end = start + surgeWarm
+		end = start + surgeWarmTime
 	}
-	s.free[to.Seed][slot] = end
-	s.taken[to.Seed] = append(s.taken[to.Seed], end)
-	if end-s.first[a.n] <= surgeBudget {
+	s.slotFreeAt[to.Seed][slot] = end
+	s.finishAt[to.Seed] = append(s.finishAt[to.Seed], end)
+	if end-s.firstSYNs[a.caller] <= surgeTimeout {
 		s.served++
 	}
-	if end-s.first[a.n] <= surgeAim {
-		s.inAim++
-		if a.n >= surgeWaiting {
-			s.fresh++
+	if end-s.firstSYNs[a.caller] <= surgeTarget {
+		s.inTarget++
+		if a.caller >= surgeWaitingCallers {
+			s.newInTarget++
 		}
 	}
 }
 
-// copyAfter are the times of the copies of a SYN.
-var copyAfter = [...]time.Duration{200 * time.Millisecond, 600 * time.Millisecond}
+// retransmitAfter are the delays of a SYN's retransmissions after the first SYN.
+var retransmitAfter = [...]time.Duration{200 * time.Millisecond, 600 * time.Millisecond}
 
-func (s *surge) sendAgain(a attempt) {
-	if int(a.copy) == len(copyAfter) {
-		a.at = a.began + 1400*time.Millisecond // the caller gives the try up
-		s.tryAnew(a)
+func (s *surge) retransmit(a attempt) {
+	if int(a.retransmits) == len(retransmitAfter) {
+		a.at = a.startedAt + 1400*time.Millisecond // the caller abandons the attempt
+		s.retry(a)
 		return
 	}
-	a.at = a.began + copyAfter[a.copy]
-	a.copy++
+	a.at = a.startedAt + retransmitAfter[a.retransmits]
+	a.retransmits++
 	s.pending = append(s.pending, a)
 }
 
-func (s *surge) tryAnew(a attempt) {
-	a.tries++
-	a.at += surgeTrip
-	if a.tries < surgeTries && a.at-s.first[a.n] < surgeBudget {
-		a.copy, a.began = 0, a.at
+func (s *surge) retry(a attempt) {
+	a.earlierAttempts++
+	a.at += surgeRetryDelay
+	if a.earlierAttempts < surgeMaxAttempts && a.at-s.firstSYNs[a.caller] < surgeTimeout {
+		a.retransmits, a.startedAt = 0, a.at
 		s.pending = append(s.pending, a)
 	}
 }
 
-// A policy that places every SYN at once fills all queues. Backend servers shed
-// what does not fit, and callers use up their tries within milliseconds. A policy
-// that places the copies of SYNs like the first ones keeps queues full of callers
-// who are late already, and makes those late that come in time.
-func TestSurgeLosesFewerCallers(t *testing.T) {
+// A policy that places every SYN at once fills all queues: backend servers reject the
+// excess, and callers use up their attempts within milliseconds. A policy that treats
+// retransmitted SYNs like first ones keeps the queues full of callers that are late
+// already, and so delays new callers beyond their target.
+func TestOverloadLimitsServeMoreCallersInSurge(t *testing.T) {
 	is := is.New(t)
 	for seed := range uint64(5) {
 		naive, paced := newSurge(seed), newSurge(seed)
-		placing := newBalancer(servers(1, surgeServers)...)
-		naive.report = func(now time.Duration, seed uint64, load Load) { placing.ReportLoad(now, desk, seed, load) }
+		naiveBalancer := newBalancer(servers(1, surgeServers)...)
+		naive.report = func(now time.Duration, seed uint64, load Load) {
+			naiveBalancer.ReportLoad(now, testService, seed, load)
+		}
 		naive.policy = func(now time.Duration, s *Segment) Decision {
-			first := placing.Table().firstTaking(s.Tuple.ID().Key, desk)
-			return Decision{To: placing.loads.choose(now, first, "a").peer}
+			first := naiveBalancer.Table().placementCandidates(s.Tuple.ID().Key, testService)
+			return Decision{To: naiveBalancer.loads.selectLeastLoaded(now, first, "a").peer}
+		}
+		naive.run()
+		pacedBalancer := newBalancer(servers(1, surgeServers)...)
+		paced.report = func(now time.Duration, seed uint64, load Load) {
+			pacedBalancer.ReportLoad(now, testService, seed, load)
 		}
-		naive.play()
-		steering := newBalancer(servers(1, surgeServers)...)
-		paced.report = func(now time.Duration, seed uint64, load Load) { steering.ReportLoad(now, desk, seed, load) }
-		paced.policy = steering.Steer
-		paced.play()
-		t.Logf("seed %d: of %d callers placed at once %d in time, %d at all, %d fresh; paced %d, %d and %d",
-			seed, len(paced.first), naive.inAim, naive.served, naive.fresh, paced.inAim, paced.served, paced.fresh)
-		is.True(paced.served*10 >= naive.served*11) // a tenth more callers are served
-		is.True(paced.fresh*4 >= naive.fresh*3)     // and few that come in time are late
+		paced.policy = pacedBalancer.Steer
+		paced.run()
+		t.Logf("seed %d, %d callers: without limits %d in target, %d served, %d new in target; with limits %d, %d and %d",
+			seed, len(paced.firstSYNs), naive.inTarget, naive.served, naive.newInTarget, paced.inTarget, paced.served, paced.newInTarget)
+		is.True(paced.served*10 >= naive.served*11)         // at least 10% more callers are served
+		is.True(paced.newInTarget*4 >= naive.newInTarget*3) // at most 25% fewer new callers meet the target
 	}
 }
--- a/core/steer/table_test.go
+++ b/core/steer/table_test.go
@@ -8,7 +8,7 @@
 	"fulmarmount.org/core/view"
 )
 
-func TestFirstTakingIsTheBeginningOfTheOrder(t *testing.T) {
+func TestPlacementCandidatesAreFirstInRendezvousOrder(t *testing.T) {
 	is := is.New(t)
 	members := servers(1, 40)
 	for i := range members {
@@ -19,12 +19,12 @@
 	table := newBalancer(members...).Table()
 	for key := range uint64(200) {
 		var want []*member
-		for _, m := range table.order(key, desk) {
-			if m.takes && len(want) < choices {
+		for _, m := range table.rankMembers(key, testService) {
+			if m.acceptsNew && len(want) < maxCandidates {
 				want = append(want, m)
 			}
 		}
-		is.Equal(table.firstTaking(key, desk), want)
+		is.Equal(table.placementCandidates(key, testService), want)
 	}
-	is.Equal(len(table.firstTaking(1, hall)), 0) // a service without members
+	is.Equal(len(table.placementCandidates(1, otherService)), 0) // a service without members
 }
