--- a/core/view/example_test.go
+++ b/core/view/example_test.go
@@ -6,16 +6,16 @@
 	"fulmarmount.org/core/view"
 )
 
-// A process adopts a view only if it is newer than the one it has.
+// A process adopts a view only if it is newer than its current view.
 func ExampleVersion_Newer() {
-	inForce := view.New(1, view.Version{Epoch: 2, Number: 7}, []view.BackendServer{
+	current := view.New(1, view.Version{Epoch: 2, Number: 7}, []view.BackendServer{
 		{ID: "host-2", State: view.Draining},
 		{ID: "host-1", State: view.Ready, Weight: view.FullWeight},
 	})
-	late := view.Version{Epoch: 1, Number: 9}
-	fmt.Println(late.Newer(inForce.Version))
-	for i := range inForce.Members {
-		m := &inForce.Members[i]
+	stale := view.Version{Epoch: 1, Number: 9}
+	fmt.Println(stale.Newer(current.Version))
+	for i := range current.Members {
+		m := &current.Members[i]
 		fmt.Println(m.ID, m.State, m.AcceptsNewFlows())
 	}
 	// Output:
--- a/core/view/view_test.go
+++ b/core/view/view_test.go
@@ -6,14 +6,14 @@
 	"github.com/matryer/is"
 )
 
-func TestVersionOrdersByEpochThenNumber(t *testing.T) {
+func TestVersionIsOrderedByEpochThenNumber(t *testing.T) {
 	is := is.New(t)
 	is.True(Version{2, 0}.Newer(Version{1, 9}))
 	is.True(Version{1, 2}.Newer(Version{1, 1}))
 	is.True(!Version{1, 1}.Newer(Version{1, 1}))
 }
 
-func TestFindUsesSortedMembers(t *testing.T) {
+func TestIndexOfFindsMembersInSortedView(t *testing.T) {
 	is := is.New(t)
 	v := New(1, Version{1, 1}, []BackendServer{{ID: "b"}, {ID: "a"}})
 	is.Equal(v.IndexOf("a"), 0)
