--- a/core/placement/baseline/baseline.go
+++ b/core/placement/baseline/baseline.go
@@ -1,6 +1,6 @@
-// Package baseline holds the ways of choosing a backend server that rendezvous
-// hashing is measured against: modulo hashing, a Maglev table and two-level
-// rendezvous hashing. Production code does not use it.
+// Package baseline implements the placement methods that rendezvous hashing is compared
+// with: modulo hashing, Maglev hashing and two-level rendezvous hashing. It is not used in
+// production.
 package baseline
 
 import (
@@ -10,11 +10,11 @@
 	"fulmarmount.org/core/view"
 )
 
-// Picker chooses a member index for a key.
+// Picker selects a member for a key.
 type Picker interface {
 	// Pick returns the index of a member, or placement.None.
 	Pick(key uint64) int
-	// MemorySize is the memory the picker holds beyond the view.
+	// MemorySize returns the memory of the picker beyond the view, in bytes.
 	MemorySize() int
 }
 
@@ -29,13 +29,13 @@
 	if len(m.targets) == 0 {
 		return placement.None
 	}
-	return int(m.targets[spread(key)%uint64(len(m.targets))].Index)
+	return int(m.targets[mixHash(key)%uint64(len(m.targets))].Index)
 }
 
 // MemorySize implements Picker.
 func (m *Modulo) MemorySize() int { return 0 }
 
-// Rendezvous is the production choice behind the Picker interface.
+// Rendezvous adapts the production method, placement.Pick, to the Picker interface.
 type Rendezvous struct{ view *view.View }
 
 // NewRendezvous returns a rendezvous picker over v.
@@ -45,21 +45,21 @@
 func (r *Rendezvous) Pick(key uint64) int { return placement.Pick(key, r.view) }
 
 // MemorySize implements Picker.
-func (r *Rendezvous) MemorySize() int { return targetBytes * len(r.view.Targets()) }
+func (r *Rendezvous) MemorySize() int { return targetSize * len(r.view.Targets()) }
 
-const targetBytes = 16
+const targetSize = 16 // bytes
 
 // Maglev is the lookup table of "Maglev: A Fast and Reliable Software Network
 // Load Balancer" (NSDI 2016), section 3.4, for equal weights.
 type Maglev struct{ table []int32 }
 
-// maglevEntries is the number of table entries per member, at least.
-const maglevEntries = 100
+// minEntriesPerMember is the minimum number of table entries per member.
+const minEntriesPerMember = 100
 
 // NewMaglev returns a Maglev picker over v.
 func NewMaglev(v *view.View) *Maglev {
 	targets := v.Targets()
-	m := &Maglev{table: make([]int32, primeFrom(maglevEntries*max(len(v.Members), 1)))}
+	m := &Maglev{table: make([]int32, nextPrime(minEntriesPerMember*max(len(v.Members), 1)))}
 	for i := range m.table {
 		m.table[i] = placement.None
 	}
@@ -72,8 +72,8 @@
 	next := make([]uint64, len(targets))
 	for filled := 0; filled < len(m.table) && len(targets) > 0; {
 		for i := range targets {
-			offset := spread(targets[i].Seed) % size
-			skip := spread(^targets[i].Seed)%(size-1) + 1
+			offset := mixHash(targets[i].Seed) % size
+			skip := mixHash(^targets[i].Seed)%(size-1) + 1
 			slot := (offset + next[i]*skip) % size
 			for m.table[slot] != placement.None {
 				next[i]++
@@ -89,13 +89,13 @@
 }
 
 // Pick implements Picker.
-func (m *Maglev) Pick(key uint64) int { return int(m.table[spread(key)%uint64(len(m.table))]) }
+func (m *Maglev) Pick(key uint64) int { return int(m.table[mixHash(key)%uint64(len(m.table))]) }
 
 // MemorySize implements Picker.
 func (m *Maglev) MemorySize() int { return 4 * len(m.table) }
 
-// TwoLevel chooses a group by rendezvous hashing over the groups' summed
-// weights, then a member within the group.
+// TwoLevel selects a group by rendezvous hashing, weighted by the sums of the groups'
+// weights, then a member within the group by the same method.
 type TwoLevel struct {
 	groups  []view.Target
 	members [][]view.Target
@@ -107,13 +107,13 @@
 	t := &TwoLevel{members: make([][]view.Target, groups)}
 	weights := make([]uint32, groups)
 	for _, m := range v.Targets() {
-		g := spread(m.Seed) % uint64(groups)
+		g := mixHash(m.Seed) % uint64(groups)
 		t.members[g] = append(t.members[g], m)
 		weights[g] += m.Weight
 	}
 	for g, w := range weights {
 		if w > 0 {
-			t.groups = append(t.groups, view.Target{Seed: spread(uint64(g) + 1), Weight: w, Index: int32(g)})
+			t.groups = append(t.groups, view.Target{Seed: mixHash(uint64(g) + 1), Weight: w, Index: int32(g)})
 		}
 	}
 	return t
@@ -121,7 +121,7 @@
 
 // Pick implements Picker.
 func (t *TwoLevel) Pick(key uint64) int {
-	g := placement.PickTarget(spread(key), t.groups)
+	g := placement.PickTarget(mixHash(key), t.groups)
 	if g == placement.None {
 		return placement.None
 	}
@@ -130,25 +130,27 @@
 
 // MemorySize implements Picker.
 func (t *TwoLevel) MemorySize() int {
-	n := targetBytes * len(t.groups)
+	n := targetSize * len(t.groups)
 	for _, m := range t.members {
-		n += targetBytes * len(m)
+		n += targetSize * len(m)
 	}
 	return n
 }
 
-func spread(x uint64) uint64 {
+// mixHash hashes an integer.
+func mixHash(x uint64) uint64 {
 	hi, lo := bits.Mul64(x^0x2545f4914f6cdd1d, 0x9e3779b97f4a7c15)
 	return hi ^ lo
 }
 
-func primeFrom(n int) int {
-	for ; !prime(n); n++ {
+// nextPrime returns the smallest prime that is not below n.
+func nextPrime(n int) int {
+	for ; !isPrime(n); n++ {
 	}
 	return n
 }
 
-func prime(n int) bool {
+func isPrime(n int) bool {
 	for d := 2; d*d <= n; d++ {
 		if n%d == 0 {
 			return false
--- a/core/placement/log.go
+++ b/core/placement/log.go
@@ -7,7 +7,7 @@
 
 const (
 	logTableBits = 10
-	logUnit      = 1 << 32 // fixed-point one of logCost
+	logUnit      = 1 << 32 // 1.0 in the fixed-point format of negLog2
 )
 
 // logTable holds log2(1+i/1024) in units of 1/logUnit.
@@ -18,15 +18,15 @@
 	return table
 }()
 
-// logCost returns -log2(hash / 2^64) in units of 1/logUnit, at least 1. It works
-// in integers, so that every architecture places a key alike, and never grows
-// with hash.
-func logCost(hash uint64) uint64 {
+// negLog2 returns -log2(hash / 2^64) in units of 1/logUnit, at least 1. It does not
+// increase with hash. It uses integer arithmetic only, so that every architecture
+// computes the same placement.
+func negLog2(hash uint64) uint64 {
 	hash |= 1
 	zeros := bits.LeadingZeros64(hash)
 	mantissa := hash << (zeros + 1)
 	i := mantissa >> (64 - logTableBits)
-	rest := mantissa << logTableBits >> 32
-	log := logTable[i] + (logTable[i+1]-logTable[i])*rest>>32
+	fraction := mantissa << logTableBits >> 32
+	log := logTable[i] + (logTable[i+1]-logTable[i])*fraction>>32
 	return uint64(zeros+1)*logUnit - log + 1
 }
--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -1,6 +1,6 @@
-// Package placement chooses backend servers for flow keys by weighted
-// rendezvous hashing. The choice depends on the key and the view alone, so
-// every balancer in every availability zone makes the same one.
+// Package placement selects backend servers for flow keys by weighted rendezvous
+// hashing. The selection depends only on the key and the view, so it is the same on
+// every balancer in every availability zone.
 package placement
 
 import (
@@ -9,7 +9,7 @@
 	"fulmarmount.org/core/view"
 )
 
-// None is returned where a view has no member that takes new flows.
+// None is the index returned if there is no member to select.
 const None = -1
 
 // Pick returns the index of the member of v that key is placed on, or None.
@@ -18,7 +18,7 @@
 }
 
 // PickEarlier returns the index of the member of v that key was placed on under
-// v.Earlier[i], or None. A member that has left v since is passed over.
+// v.Earlier[i], or None. It ignores members that have left v since.
 func PickEarlier(key uint64, v *view.View, i int) int {
 	return PickTarget(key, v.EarlierTargets(i))
 }
@@ -35,7 +35,7 @@
 	return int(best.index)
 }
 
-// PickStable is PickTarget among the targets whose members of v stay.
+// PickStable is PickTarget restricted to targets that are stable members of v.
 func PickStable(key uint64, v *view.View, targets []view.Target) int {
 	best := candidate{index: None}
 	for i := range targets {
@@ -50,8 +50,8 @@
 	return int(best.index)
 }
 
-// PickTwo returns the indexes of the first and the second choice for key, or None
-// in their place. If the first leaves the view, Pick returns the second.
+// PickTwo returns the indexes of the first and the second choice for key, or None. If
+// the first leaves the view, Pick returns the second.
 func PickTwo(key uint64, v *view.View) (first, second int) {
 	a, b := candidate{index: None}, candidate{index: None}
 	targets := v.Targets()
@@ -67,8 +67,8 @@
 	return int(a.index), int(b.index)
 }
 
-// PickOutsideZone returns the index of the first choice for key among the members that
-// are not in the given availability zone, or None.
+// PickOutsideZone returns the index of the first choice for key among the members
+// outside the given availability zone, or None.
 func PickOutsideZone(key uint64, v *view.View, zone string) int {
 	best := candidate{index: None}
 	targets := v.Targets()
@@ -87,7 +87,7 @@
 // candidate is a target with its hash for one key.
 type candidate struct {
 	hash   uint64
-	cost   uint64 // logCost(hash), or 0 until it is needed
+	log    uint64 // negLog2(hash), or 0 until it is computed
 	weight uint32
 	index  int32
 }
@@ -96,10 +96,10 @@
 	return candidate{hash: Mix(key, t.Seed), weight: t.Weight, index: t.Index}
 }
 
-// beats reports whether c scores higher than o. The score is weight / -log(u)
-// with u uniform in (0,1): the logarithmic method of weighted rendezvous
-// hashing, under which a change of one weight moves flows only to or from that
-// member. The logarithms are taken only where weight and hash disagree.
+// beats reports whether c scores higher than o. The score is weight / -log(u) with u
+// uniform in (0,1), the logarithmic method of weighted rendezvous hashing: a change of
+// one weight moves flows only to or from that member. Logarithms are computed only if
+// the order by weight differs from the order by hash.
 func (c *candidate) beats(o *candidate) bool {
 	switch {
 	case o.index == None:
@@ -109,8 +109,8 @@
 	case c.hash <= o.hash && c.weight <= o.weight:
 		return false
 	}
-	cHigh, cLow := bits.Mul64(uint64(c.weight), o.logCost())
-	oHigh, oLow := bits.Mul64(uint64(o.weight), c.logCost())
+	cHigh, cLow := bits.Mul64(uint64(c.weight), o.negLog2())
+	oHigh, oLow := bits.Mul64(uint64(o.weight), c.negLog2())
 	switch {
 	case cHigh != oHigh:
 		return cHigh > oHigh
@@ -121,11 +121,11 @@
 	}
 }
 
-func (c *candidate) logCost() uint64 {
-	if c.cost == 0 {
-		c.cost = logCost(c.hash)
+func (c *candidate) negLog2() uint64 {
+	if c.log == 0 {
+		c.log = negLog2(c.hash)
 	}
-	return c.cost
+	return c.log
 }
 
 // Mix combines two 64-bit values into one well-distributed value by two folded
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -13,7 +13,9 @@
 	"fulmarmount.org/core/view"
 )
 
-func hosts(n int, weight func(i int) uint32) *view.View {
+// newView returns a view of n ready members, with the given weights and in three
+// availability zones.
+func newView(n int, weight func(i int) uint32) *view.View {
 	members := make([]view.BackendServer, n)
 	for i := range members {
 		members[i] = view.BackendServer{
@@ -24,10 +26,10 @@
 	return view.New(1, view.Version{Epoch: 1, Number: 1}, members)
 }
 
-func equal(int) uint32 { return view.FullWeight }
+func equalWeight(int) uint32 { return view.FullWeight }
 
-// naivePick scores every member by the textbook formula.
-func naivePick(key uint64, v *view.View) int {
+// textbookPick returns the member with the highest score by the textbook formula.
+func textbookPick(key uint64, v *view.View) int {
 	best, bestScore := placement.None, 0.0
 	for i := range v.Members {
 		if s := placement.Score(key, v.Seed(i), v.Members[i].PlacementWeight()); s > bestScore {
@@ -37,15 +39,15 @@
 	return best
 }
 
-func TestPickMatchesNaive(t *testing.T) {
+func TestPicksMatchTextbookFormula(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 200 {
-		v := hosts(1+rng.IntN(12), func(int) uint32 { return uint32(rng.IntN(5)) * 25 })
+		v := newView(1+rng.IntN(12), func(int) uint32 { return uint32(rng.IntN(5)) * 25 })
 		for range 50 {
 			key := rng.Uint64()
 			first, second := placement.PickTwo(key, v)
-			is.Equal(placement.Pick(key, v), naivePick(key, v))
+			is.Equal(placement.Pick(key, v), textbookPick(key, v))
 			is.Equal(first, placement.Pick(key, v))
 			if first == placement.None {
 				is.Equal(second, placement.None)
@@ -56,7 +58,7 @@
 			without[first].State = view.Draining
 			rest := view.New(1, v.Version, without)
 			if rest.IsDrainOnly() {
-				// Nobody else takes new flows, so there is no second choice.
+				// No other member accepts new flows, so there is no second choice.
 				is.Equal(second, placement.None)
 				continue
 			}
@@ -67,7 +69,7 @@
 
 func TestSharesFollowWeights(t *testing.T) {
 	is := is.New(t)
-	v := hosts(4, func(i int) uint32 { return uint32(i) * 50 })
+	v := newView(4, func(i int) uint32 { return uint32(i) * 50 })
 	counts := make([]float64, 4)
 	rng := rand.New(rand.NewPCG(2, 2))
 	const keys = 120_000
@@ -76,13 +78,13 @@
 	}
 	for i, n := range counts {
 		want := keys * float64(i) / 6
-		is.True(math.Abs(n-want) <= 5*math.Sqrt(keys)) // five standard deviations
+		is.True(math.Abs(n-want) <= 5*math.Sqrt(keys)) // at least ten standard deviations, as p(1-p) <= 1/4
 	}
 }
 
-func TestPastWeights(t *testing.T) {
+func TestPickEarlierUsesWeightsOfEarlierVersion(t *testing.T) {
 	is := is.New(t)
-	before, after := hosts(7, equal), hosts(7, equal)
+	before, after := newView(7, equalWeight), newView(7, equalWeight)
 	after.Members[3].State = view.Draining
 	weights := []uint32{100, 100, 100, 100, 100, 100, 100}
 	after.Earlier = []view.EarlierWeights{{Version: before.Version, Weights: weights}}
@@ -93,13 +95,13 @@
 	}
 }
 
-func TestNoAllocations(t *testing.T) {
-	v := hosts(7, func(i int) uint32 { return uint32(90 + i) })
+func TestPickTwoDoesNotAllocate(t *testing.T) {
+	v := newView(7, func(i int) uint32 { return uint32(90 + i) })
 	key := uint64(1)
 	is.New(t).Equal(testing.AllocsPerRun(100, func() { key++; placement.PickTwo(key, v) }), 0.0)
 }
 
-var ways = []struct {
+var methods = []struct {
 	name string
 	make func(*view.View) baseline.Picker
 }{
@@ -111,9 +113,10 @@
 	{"modulo", func(v *view.View) baseline.Picker { return baseline.NewModulo(v) }},
 }
 
-// TestSameOnEveryArchitecture pins choices among unequal weights.
-func TestSameOnEveryArchitecture(t *testing.T) {
-	v := hosts(9, func(i int) uint32 { return uint32(10 + 13*i) })
+// TestPicksAreSameOnEveryArchitecture pins a digest of picks among unequal weights: balancers
+// of different architectures must agree.
+func TestPicksAreSameOnEveryArchitecture(t *testing.T) {
+	v := newView(9, func(i int) uint32 { return uint32(10 + 13*i) })
 	digest := uint64(14695981039346656037)
 	for key := range uint64(100_000) {
 		digest = (digest ^ uint64(placement.Pick(key, v))) * 1099511628211
@@ -121,16 +124,16 @@
 	is.New(t).Equal(digest, uint64(18206210349355878186))
 }
 
-// BenchmarkWays reports, beside the time of one choice, the bytes held per
-// view and the share of flows that move when one host leaves, as a multiple of
-// the share that has to.
-func BenchmarkWays(b *testing.B) {
+// BenchmarkMethods reports, besides the time of one pick, the memory per view and the
+// number of flows that move when one host is drained, as a multiple of the number that
+// must move.
+func BenchmarkMethods(b *testing.B) {
 	for _, n := range []int{7, 100, 5000} {
-		for _, way := range ways {
-			b.Run(fmt.Sprintf("%s/hosts=%d", way.name, n), func(b *testing.B) {
-				v := hosts(n, equal)
-				p := way.make(v)
-				moved := movedRatio(v, p, way.make)
+		for _, method := range methods {
+			b.Run(fmt.Sprintf("%s/hosts=%d", method.name, n), func(b *testing.B) {
+				v := newView(n, equalWeight)
+				p := method.make(v)
+				moved := movedRatio(v, p, method.make)
 				b.ResetTimer()
 				key := uint64(0)
 				for b.Loop() {
@@ -144,17 +147,19 @@
 	}
 }
 
+// movedRatio returns the number of flows that move when a member is drained, divided by the
+// number of flows that were placed on it.
 func movedRatio(v *view.View, before baseline.Picker, remake func(*view.View) baseline.Picker) float64 {
-	left := append([]view.BackendServer(nil), v.Members...)
-	left[len(left)/2].State = view.Draining
-	after := remake(view.New(1, v.Version, left))
+	members := append([]view.BackendServer(nil), v.Members...)
+	members[len(members)/2].State = view.Draining
+	after := remake(view.New(1, v.Version, members))
 	moved, needed := 0, 0
 	for i := range uint64(100_000) {
 		was, is := before.Pick(i*0x9e3779b97f4a7c15), after.Pick(i*0x9e3779b97f4a7c15)
 		if was != is {
 			moved++
 		}
-		if was == len(left)/2 {
+		if was == len(members)/2 {
 			needed++
 		}
 	}
@@ -162,7 +167,7 @@
 }
 
 func BenchmarkPickMixedWeights(b *testing.B) {
-	v := hosts(7, func(i int) uint32 { return uint32(40 + 10*i) })
+	v := newView(7, func(i int) uint32 { return uint32(40 + 10*i) })
 	key := uint64(0)
 	b.ReportAllocs()
 	for b.Loop() {
