--- a/core/locator/bench_test.go
+++ b/core/locator/bench_test.go
@@ -11,8 +11,8 @@
 	"fulmarmount.org/core/view"
 )
 
-// BenchmarkViewChange measures what one host pushes when another of seven joins
-// or when it is itself drained.
+// BenchmarkViewChange measures the pushes of one of seven hosts after an eighth has joined,
+// and after the host itself is drained.
 func BenchmarkViewChange(b *testing.B) {
 	const flowsPerHost = 2000
 	members := func(n, draining int) []view.BackendServer {
--- a/core/locator/changes_test.go
+++ b/core/locator/changes_test.go
@@ -5,64 +5,65 @@
 	"fulmarmount.org/core/view"
 )
 
-// change makes one planned or unplanned change of the membership.
-func (w *world) change(kill bool) {
-	h := w.hosts[w.rng.IntN(len(w.hosts))]
-	switch choice := w.rng.IntN(9); {
-	case choice == 0 && kill && h.alive && w.serving() > 2:
-		h.alive, h.diedAt = false, w.now
-	case choice == 8 && kill && w.serving() > 4:
-		w.loseZone(h.index % zones)
+// changeMembership makes one random change of the membership, or starts a balancer.
+func (sim *simulation) changeMembership(withFailures bool) {
+	h := sim.hosts[sim.rng.IntN(len(sim.hosts))]
+	switch choice := sim.rng.IntN(9); {
+	case choice == 0 && withFailures && h.alive && sim.readyHosts() > 2:
+		h.alive, h.failedAt = false, sim.now
+	case choice == 8 && withFailures && sim.readyHosts() > 4:
+		sim.failZone(h.index % zones)
 	case choice <= 2:
-		w.startBalancer(w.rng.IntN(len(w.balancers)))
+		sim.startBalancer(sim.rng.IntN(len(sim.balancers)))
 		return
 	case !h.alive:
 		return
-	case choice == 3 && h.state == view.Ready && w.serving() > 2:
+	case choice == 3 && h.state == view.Ready && sim.readyHosts() > 2:
 		h.state, h.weight = view.Draining, 0
 	case choice == 4 && h.state == view.Draining:
 		h.state, h.weight = view.Ready, view.FullWeight
 	case h.state == view.Ready:
-		h.weight = 25 * uint32(1+w.rng.IntN(6))
+		h.weight = 25 * uint32(1+sim.rng.IntN(6))
 	default:
 		return
 	}
-	w.publish()
+	sim.publish()
 }
 
-func (w *world) loseZone(zone int) {
-	for i := zone; i < len(w.hosts); i += zones {
-		if w.hosts[i].alive {
-			w.hosts[i].alive, w.hosts[i].diedAt = false, w.now
+func (sim *simulation) failZone(zone int) {
+	for i := zone; i < len(sim.hosts); i += zones {
+		if sim.hosts[i].alive {
+			sim.hosts[i].alive, sim.hosts[i].failedAt = false, sim.now
 		}
 	}
 }
 
-// end lets an owner end one flow.
-func (w *world) end(t flow.Tuple) {
-	if o, ok := w.owners[t]; ok && w.lives(o) {
-		w.hosts[o.host].agent.End(t.ID())
-		delete(w.owners, t)
+// endFlow ends one flow at its owner.
+func (sim *simulation) endFlow(t flow.Tuple) {
+	if o, ok := sim.owners[t]; ok && sim.isAlive(o) {
+		sim.hosts[o.host].agent.End(t.ID())
+		delete(sim.owners, t)
 	}
 }
 
-// report tells the agents each other's loads.
-func (w *world) report() {
+// reportLoads sends the loads of all agents to every agent.
+func (sim *simulation) reportLoads() {
 	var loads []view.Load
-	for _, h := range w.hosts {
+	for _, h := range sim.hosts {
 		if h.alive {
 			loads = append(loads, view.Load{Seed: view.SeedOf(h.id()), Flows: uint32(h.agent.Flows())})
 		}
 	}
-	for _, h := range w.hosts {
+	for _, h := range sim.hosts {
 		if h.alive {
 			h.agent.SetLoads(loads)
 		}
 	}
 }
 
-func (w *world) serving() (n int) {
-	for _, h := range w.hosts {
+// readyHosts returns the number of hosts that are alive and in state view.Ready.
+func (sim *simulation) readyHosts() (n int) {
+	for _, h := range sim.hosts {
 		if h.alive && h.state == view.Ready {
 			n++
 		}
--- a/core/locator/locator.go
+++ b/core/locator/locator.go
@@ -1,7 +1,8 @@
-// Package locator keeps the owners of flows findable after a view has moved on.
-// Each owner pushes pointers to the agents that packets of its flows may reach:
-// the pick of the newest view and the agents that would replace it. Pointers
-// can be rebuilt by their owner at any time; losing one costs a relay.
+// Package locator distributes pointers to the owners of flows, so that packets of a
+// flow reach its owner after the view has changed. Each owner pushes pointers to the
+// agents that packets of its flows may reach: the agent that the newest view places the
+// flow on, and the agents that would replace it. Pointers are soft state that the owner
+// can push again at any time; a missing pointer costs one relay.
 package locator
 
 import (
@@ -16,17 +17,18 @@
 	"fulmarmount.org/core/view"
 )
 
-// PointerSize is the length of one pointer in a batch, in bytes.
+// PointerSize is the encoded size of one pointer in a batch, in bytes.
 const PointerSize = 16
 
 // Batch carries pointers from one agent to another.
 type Batch struct {
-	// Sequence is acknowledged by the receiver; 0 asks for no acknowledgement.
+	// Sequence is the number that the receiver acknowledges; 0 requests no
+	// acknowledgement.
 	Sequence uint64         `cbor:"1,keyasint"`
 	Service  view.ServiceID `cbor:"2,keyasint"`
 	// From is the sender.
 	From flow.Peer `cbor:"3,keyasint"`
-	// Owner holds the flows; the sender itself, unless Sequence is 0.
+	// Owner is the owner of the flows. It is the sender unless Sequence is 0.
 	Owner flow.Peer `cbor:"4,keyasint"`
 	Flows []flow.ID `cbor:"5,keyasint"`
 }
@@ -43,30 +45,30 @@
 	Batch Batch
 }
 
-// FlowTable is the flow table whose owned flows are pushed.
+// FlowTable is the flow table whose owned flows a Pusher announces.
 type FlowTable interface {
-	// ForEachOwned calls f with every owned flow until f returns false.
+	// ForEachOwned calls f for each owned flow until f returns false.
 	ForEachOwned(f func(flow.ID) bool)
 	// Owns reports whether the flow is still owned.
 	Owns(flow.ID) bool
 }
 
-// Options configure a Pusher. Zero durations and counts take defaults.
+// Options configure a Pusher. Zero durations and counts select the defaults.
 type Options struct {
-	// Self is this run of the agent.
+	// Self is the current incarnation of the agent.
 	Self flow.Peer
 	// Flows is the agent's flow table.
 	Flows FlowTable
-	// BatchSize is the number of pointers in a batch at most.
+	// BatchSize is the maximum number of pointers in a batch.
 	BatchSize int
-	// BatchesPerTick is the number of batches that one Tick sends at most, which
-	// bounds the rate of pushing.
+	// BatchesPerTick is the maximum number of batches that one Tick sends, which limits
+	// the rate of pushing.
 	BatchesPerTick int
-	// RetryDelay is the wait for an acknowledgement before the first resend. It
-	// doubles with each resend up to RetryLimit.
+	// RetryDelay is the delay before the first resend of an unacknowledged batch. It
+	// doubles with each resend up to MaxRetryDelay.
 	RetryDelay    time.Duration
 	MaxRetryDelay time.Duration
-	// RefreshInterval is the time between pushes of all pointers.
+	// RefreshInterval is the interval between pushes of all pointers.
 	RefreshInterval time.Duration
 }
 
@@ -88,44 +90,44 @@
 	}
 }
 
-// Stats are a Pusher's counts since its start.
+// Stats are a Pusher's counters since its start.
 type Stats struct {
-	Pointers       uint64 // pointers sent, resends included
-	Batches        uint64 // batches sent, resends included
-	Resends        uint64 // batches sent again
-	AnswerPointers uint64 `json:"Told"` // pointers sent in answer to a question
+	Pointers       uint64 // pointers pushed, including resends
+	Batches        uint64 // batches pushed, including resends
+	Resends        uint64 // batches resent
+	AnswerPointers uint64 `json:"Told"` // pointers sent by QueueAnswer
 	Acked          uint64 // batches acknowledged
 }
 
-// Pusher pushes the pointers of one agent. Its methods may be called from
-// several goroutines. Times are durations since any fixed start.
+// Pusher pushes the pointers of one agent. It is safe for concurrent use. Times are
+// durations since an arbitrary fixed start.
 type Pusher struct {
-	options  Options
-	mu       sync.Mutex
-	view     *view.View
-	holders  map[uint64]*holder
-	told     map[tellKey]*Batch
-	sequence uint64
-	refresh  time.Duration
-	stats    Stats
+	options     Options
+	mu          sync.Mutex
+	view        *view.View
+	holders     map[uint64]*holder
+	answers     map[answerKey]*Batch
+	sequence    uint64
+	nextRefresh time.Duration
+	stats       Stats
 }
 
 // holder is an agent that pointers are pushed to.
 type holder struct {
 	peer    flow.Peer
-	pending []flow.ID
-	sent    []sentBatch
+	queued  []flow.ID
+	unacked []unackedBatch
 }
 
-type sentBatch struct {
-	sequence uint64
-	flows    []flow.ID
-	due      time.Duration
-	wait     time.Duration
+type unackedBatch struct {
+	sequence   uint64
+	flows      []flow.ID
+	resendAt   time.Duration
+	retryDelay time.Duration
 }
 
-// tellKey groups answers by receiver and owner.
-type tellKey struct {
+// answerKey groups answers by receiver and owner.
+type answerKey struct {
 	to    flow.Peer
 	owner flow.Peer
 }
@@ -133,13 +135,14 @@
 // NewPusher returns a Pusher without a view.
 func NewPusher(o Options) *Pusher {
 	o.setDefaults()
-	return &Pusher{options: o, holders: make(map[uint64]*holder), told: make(map[tellKey]*Batch)}
+	return &Pusher{options: o, holders: make(map[uint64]*holder), answers: make(map[answerKey]*Batch)}
 }
 
-// AppendPointerHolders appends to peers the agents of v that are to hold pointers to a flow
-// that self owns: the pick, the second choice, and the first choice outside the
-// pick's availability zone, so that the loss of the pick or of its zone leads
-// to an agent with a pointer. A flow that is owned by its pick needs none.
+// AppendPointerHolders appends to peers the agents of v that must hold pointers to a
+// flow owned by self: the first and the second choice of placement, and the first choice
+// outside the availability zone of the first, so that after the loss of that agent or
+// its zone packets reach an agent with a pointer. A flow that is owned by its first
+// choice needs no pointers.
 func AppendPointerHolders(peers []flow.Peer, key uint64, v *view.View, self uint64) []flow.Peer {
 	first, second := placement.PickTwo(key, v)
 	if first == placement.None || v.Seed(first) == self {
@@ -162,8 +165,8 @@
 	return peers
 }
 
-// SetView adopts v if it is newer than the view in force, and queues the
-// pointers that v requires and the view before did not.
+// SetView adopts v if it is newer than the current view, and queues the pointers that v
+// requires and the previous view did not.
 func (p *Pusher) SetView(now time.Duration, v *view.View) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -173,19 +176,19 @@
 	}
 	p.view = v
 	if old == nil {
-		p.refresh = now + p.options.RefreshInterval
+		p.nextRefresh = now + p.options.RefreshInterval
 	}
-	p.retarget()
-	var required, held []flow.Peer
+	p.updateHolders()
+	var required, previous []flow.Peer
 	p.options.Flows.ForEachOwned(func(id flow.ID) bool {
-		held = held[:0]
+		previous = previous[:0]
 		if old != nil {
-			held = AppendPointerHolders(held, id.Key, old, p.options.Self.Seed)
+			previous = AppendPointerHolders(previous, id.Key, old, p.options.Self.Seed)
 		}
 		required = AppendPointerHolders(required[:0], id.Key, v, p.options.Self.Seed)
 		for _, peer := range required {
-			if !slices.Contains(held, peer) {
-				p.queue(peer, id)
+			if !slices.Contains(previous, peer) {
+				p.enqueue(peer, id)
 			}
 		}
 		return true
@@ -193,9 +196,9 @@
 	return true
 }
 
-// retarget forgets holders that have left the view and restarts the pushing to
-// those that run anew.
-func (p *Pusher) retarget() {
+// updateHolders deletes the holders that are gone from the view, and directs the batches
+// for the others to their current incarnations.
+func (p *Pusher) updateHolders() {
 	for seed, h := range p.holders {
 		i := p.view.IndexOfSeed(seed)
 		if i < 0 || p.view.Members[i].State == view.Gone {
@@ -206,16 +209,16 @@
 	}
 }
 
-func (p *Pusher) queue(to flow.Peer, id flow.ID) {
+func (p *Pusher) enqueue(to flow.Peer, id flow.ID) {
 	h := p.holders[to.Seed]
 	if h == nil {
 		h = &holder{peer: to}
 		p.holders[to.Seed] = h
 	}
-	h.pending = append(h.pending, id)
+	h.queued = append(h.queued, id)
 }
 
-// AddFlow queues the pointers of a flow that the agent has just taken.
+// AddFlow queues the pointers of a flow that the agent has just become the owner of.
 func (p *Pusher) AddFlow(id flow.ID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -224,26 +227,27 @@
 	}
 	var buf [3]flow.Peer
 	for _, peer := range AppendPointerHolders(buf[:0], id.Key, p.view, p.options.Self.Seed) {
-		p.queue(peer, id)
+		p.enqueue(peer, id)
 	}
 }
 
-// QueueAnswer queues an answer: to learns that owner holds the flow.
+// QueueAnswer queues a pointer to owner for the agent that has queried the owner of a
+// flow. It is sent once, without an acknowledgement.
 func (p *Pusher) QueueAnswer(to, owner flow.Peer, id flow.ID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	key := tellKey{to: to, owner: owner}
-	b := p.told[key]
+	key := answerKey{to: to, owner: owner}
+	b := p.answers[key]
 	if b == nil {
 		b = &Batch{From: p.options.Self, Owner: owner}
-		p.told[key] = b
+		p.answers[key] = b
 	}
 	if len(b.Flows) < p.options.BatchSize && !slices.Contains(b.Flows, id) {
 		b.Flows = append(b.Flows, id)
 	}
 }
 
-// HandleAck notes an acknowledgement.
+// HandleAck processes an acknowledgement.
 func (p *Pusher) HandleAck(a Ack) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -251,7 +255,7 @@
 	if h == nil || h.peer.Incarnation != a.From.Incarnation {
 		return
 	}
-	h.sent = slices.DeleteFunc(h.sent, func(s sentBatch) bool {
+	h.unacked = slices.DeleteFunc(h.unacked, func(s unackedBatch) bool {
 		if s.sequence == a.Sequence {
 			p.stats.Acked++
 			return true
@@ -260,36 +264,36 @@
 	})
 }
 
-// Tick returns the batches that are due.
+// Tick returns the batches to send now.
 func (p *Pusher) Tick(now time.Duration) []Message {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.view == nil {
 		return nil
 	}
-	if now >= p.refresh {
-		p.refresh = now + p.options.RefreshInterval
-		p.requeue()
+	if now >= p.nextRefresh {
+		p.nextRefresh = now + p.options.RefreshInterval
+		p.enqueueAll()
 	}
 	var out []Message
-	out = p.answers(out)
+	out = p.appendAnswers(out)
 	limit := len(out) + p.options.BatchesPerTick
 	for _, seed := range slices.Sorted(maps.Keys(p.holders)) {
 		h := p.holders[seed]
-		out = p.resend(out, h, now, limit)
-		out = p.send(out, h, now, limit)
+		out = p.appendResends(out, h, now, limit)
+		out = p.appendBatches(out, h, now, limit)
 	}
 	return out
 }
 
-// answers appends the batches of Tell.
-func (p *Pusher) answers(out []Message) []Message {
-	for key, b := range p.told {
+// appendAnswers appends the batches of QueueAnswer, in a fixed order.
+func (p *Pusher) appendAnswers(out []Message) []Message {
+	for key, b := range p.answers {
 		b.Service = p.view.Service
 		out = append(out, Message{To: key.to, Batch: *b})
 		p.stats.AnswerPointers += uint64(len(b.Flows))
 	}
-	clear(p.told)
+	clear(p.answers)
 	slices.SortFunc(out, func(a, b Message) int {
 		if c := cmp.Compare(a.To.Seed, b.To.Seed); c != 0 {
 			return c
@@ -299,58 +303,58 @@
 	return out
 }
 
-// requeue queues every pointer that the view in force requires.
-func (p *Pusher) requeue() {
+// enqueueAll queues every pointer that the current view requires.
+func (p *Pusher) enqueueAll() {
 	var required []flow.Peer
 	p.options.Flows.ForEachOwned(func(id flow.ID) bool {
 		required = AppendPointerHolders(required[:0], id.Key, p.view, p.options.Self.Seed)
 		for _, peer := range required {
-			p.queue(peer, id)
+			p.enqueue(peer, id)
 		}
 		return true
 	})
 }
 
-// resend appends the batches that have waited too long for their
-// acknowledgement, without the flows that have ended.
-func (p *Pusher) resend(out []Message, h *holder, now time.Duration, limit int) []Message {
-	for i := range h.sent {
-		s := &h.sent[i]
-		if now < s.due || len(out) >= limit {
+// appendResends appends the batches whose acknowledgement is overdue, without the flows
+// that are no longer owned.
+func (p *Pusher) appendResends(out []Message, h *holder, now time.Duration, limit int) []Message {
+	for i := range h.unacked {
+		s := &h.unacked[i]
+		if now < s.resendAt || len(out) >= limit {
 			continue
 		}
 		s.flows = slices.DeleteFunc(s.flows, func(id flow.ID) bool { return !p.options.Flows.Owns(id) })
-		s.wait = min(2*s.wait, p.options.MaxRetryDelay)
-		s.due = now + s.wait
+		s.retryDelay = min(2*s.retryDelay, p.options.MaxRetryDelay)
+		s.resendAt = now + s.retryDelay
 		if len(s.flows) > 0 {
 			p.stats.Resends++
 			out = append(out, p.message(h, s))
 		}
 	}
-	h.sent = slices.DeleteFunc(h.sent, func(s sentBatch) bool { return len(s.flows) == 0 })
+	h.unacked = slices.DeleteFunc(h.unacked, func(s unackedBatch) bool { return len(s.flows) == 0 })
 	return out
 }
 
-// send appends batches of the pending pointers until out holds limit messages.
-func (p *Pusher) send(out []Message, h *holder, now time.Duration, limit int) []Message {
-	for len(h.pending) > 0 && len(out) < limit {
-		n := min(len(h.pending), p.options.BatchSize)
+// appendBatches appends batches of the queued pointers until out has limit messages.
+func (p *Pusher) appendBatches(out []Message, h *holder, now time.Duration, limit int) []Message {
+	for len(h.queued) > 0 && len(out) < limit {
+		n := min(len(h.queued), p.options.BatchSize)
 		p.sequence++
-		s := sentBatch{
-			sequence: p.sequence, flows: slices.Clone(h.pending[:n]),
-			due: now + p.options.RetryDelay, wait: p.options.RetryDelay,
+		s := unackedBatch{
+			sequence: p.sequence, flows: slices.Clone(h.queued[:n]),
+			resendAt: now + p.options.RetryDelay, retryDelay: p.options.RetryDelay,
 		}
-		h.pending = h.pending[n:]
-		h.sent = append(h.sent, s)
+		h.queued = h.queued[n:]
+		h.unacked = append(h.unacked, s)
 		out = append(out, p.message(h, &s))
 	}
-	if len(h.pending) == 0 {
-		h.pending = nil
+	if len(h.queued) == 0 {
+		h.queued = nil
 	}
 	return out
 }
 
-func (p *Pusher) message(h *holder, s *sentBatch) Message {
+func (p *Pusher) message(h *holder, s *unackedBatch) Message {
 	p.stats.Batches++
 	p.stats.Pointers += uint64(len(s.flows))
 	return Message{To: h.peer, Batch: Batch{
@@ -362,22 +366,22 @@
 	}}
 }
 
-// Stats returns the counts.
+// Stats returns the counters.
 func (p *Pusher) Stats() Stats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.stats
 }
 
-// UnacknowledgedPointers returns the number of pointers sent or queued whose receipt is
-// not known.
+// UnacknowledgedPointers returns the number of pointers that are queued or sent without
+// an acknowledgement.
 func (p *Pusher) UnacknowledgedPointers() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
 	for _, h := range p.holders {
-		n += len(h.pending)
-		for _, s := range h.sent {
+		n += len(h.queued)
+		for _, s := range h.unacked {
 			n += len(s.flows)
 		}
 	}
--- a/core/locator/locator_test.go
+++ b/core/locator/locator_test.go
@@ -16,115 +16,115 @@
 
 const flows = 400
 
-// simulate runs a seeded schedule of packets and changes, then a quiet end in
-// which every flow sends once more. It returns the number of flows that the
-// quiet end did not reach.
-func simulate(w *world, steps int, kill bool) (unreached int) {
+// simulate runs a seeded schedule of packets and changes, then lets the fleet settle over
+// a reliable network and sends one more packet of every flow. It returns the number of
+// flows whose last packet was not delivered.
+func simulate(sim *simulation, steps int, withFailures bool) (unreachedCount int) {
 	for range steps {
-		w.step()
+		sim.step()
 		for range 4 {
-			w.call(tupleOf(w.rng.IntN(flows)))
+			sim.sendPacket(tupleOf(sim.rng.IntN(flows)))
 		}
-		if w.rng.IntN(400) == 0 {
-			w.change(kill)
+		if sim.rng.IntN(400) == 0 {
+			sim.changeMembership(withFailures)
 		}
-		if w.rng.IntN(20) == 0 {
-			w.end(tupleOf(w.rng.IntN(flows)))
+		if sim.rng.IntN(20) == 0 {
+			sim.endFlow(tupleOf(sim.rng.IntN(flows)))
 		}
-		w.expire()
-		w.spread()
+		sim.expireLeases()
+		sim.adoptViews()
 	}
-	w.quiet = true
+	sim.reliable = true
 	for range 2000 {
-		w.step()
-		w.expire()
-		w.spread()
+		sim.step()
+		sim.expireLeases()
+		sim.adoptViews()
 	}
-	w.reached = map[flow.Tuple]bool{}
+	sim.reached = map[flow.Tuple]bool{}
 	for i := range flows {
-		w.call(tupleOf(i))
+		sim.sendPacket(tupleOf(i))
 	}
 	for range 200 {
-		w.step()
+		sim.step()
 	}
-	return flows - len(w.reached)
+	return flows - len(sim.reached)
 }
 
 func modulo(key uint64, v *view.View) int { return baseline.NewModulo(v).Pick(key) }
 
-// TestAgainstNaiveTable compares every delivery with a table that knows every
-// owner, through joins, drains, weight changes, balancer and agent restarts,
-// unequal views, and messages that are lost, late and out of order.
-func TestAgainstNaiveTable(t *testing.T) {
+// TestFlowsHaveOneOwner checks every delivery against a reference table of owners, through
+// joins, drains, weight changes, balancer and agent restarts, differing views, and lost,
+// delayed and reordered messages.
+func TestFlowsHaveOneOwner(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		kill  bool
-		seeds int
-	}{{"planned changes", false, 6}, {"deaths too", true, 6}} {
+		name         string
+		withFailures bool
+		seeds        int
+	}{{"planned changes", false, 6}, {"planned changes and failures", true, 6}} {
 		for seed := range uint64(c.seeds) {
 			t.Run(fmt.Sprintf("%s/seed=%d", c.name, seed), func(t *testing.T) {
 				t.Parallel()
 				is := is.New(t)
-				w := newWorld(seed, 7, 3)
-				w.baselines = []*baselineRun{
+				sim := newSimulation(seed, 7, 3)
+				sim.baselines = []*baselineRun{
 					{modulo, map[flow.Tuple]owner{}, map[flow.Tuple]bool{}},
 					{placement.Pick, map[flow.Tuple]owner{}, map[flow.Tuple]bool{}},
 				}
-				unreached := simulate(w, 8_000, c.kill)
-				t.Logf("seed %d: %d views, %d deliveries; broken flows of %d: modulo %d, rendezvous alone %d, with owners %d",
-					seed, len(w.published), w.delivered, flows, len(w.baselines[0].broken), len(w.baselines[1].broken), len(w.doubled))
-				is.Equal(w.doubled, nil)
-				is.Equal(unreached, 0)
+				unreachedCount := simulate(sim, 8_000, c.withFailures)
+				t.Logf("seed %d: %d views, %d deliveries; broken flows of %d: modulo %d, rendezvous only %d, with pointers %d",
+					seed, len(sim.published), sim.delivered, flows, len(sim.baselines[0].broken), len(sim.baselines[1].broken), len(sim.conflicts))
+				is.Equal(sim.conflicts, nil)
+				is.Equal(unreachedCount, 0)
 			})
 		}
 	}
 }
 
-// TestLostPointersCostRelaysOnly loses every push: flows are found through the
-// earlier picks, for as long as the views name them.
-func TestLostPointersCostRelaysOnly(t *testing.T) {
+// TestLostPointersDoNotBreakFlows loses every push. Owners are then found by the placements
+// of earlier versions, for as long as the views list those.
+func TestLostPointersDoNotBreakFlows(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(1, 7, 3)
+	sim := newSimulation(1, 7, 3)
 	for range 400 {
-		w.step()
-		w.call(tupleOf(w.rng.IntN(flows)))
+		sim.step()
+		sim.sendPacket(tupleOf(sim.rng.IntN(flows)))
 	}
-	w.losePushes = true
-	w.hosts[0].state, w.hosts[0].weight = view.Draining, 0
-	w.publish()
-	w.startBalancer(0)
+	sim.dropPushes = true
+	sim.hosts[0].state, sim.hosts[0].weight = view.Draining, 0
+	sim.publish()
+	sim.startBalancer(0)
 	for range 4000 {
-		w.step()
-		w.call(tupleOf(w.rng.IntN(flows)))
-		w.spread()
+		sim.step()
+		sim.sendPacket(tupleOf(sim.rng.IntN(flows)))
+		sim.adoptViews()
 	}
-	is.Equal(len(w.doubled), 0)
-	is.True(w.hosts[0].pusher.Stats().Resends > 0)
-	is.True(w.hosts[0].pusher.UnacknowledgedPointers() > 0)
+	is.Equal(len(sim.conflicts), 0)
+	is.True(sim.hosts[0].pusher.Stats().Resends > 0)
+	is.True(sim.hosts[0].pusher.UnacknowledgedPointers() > 0)
 }
 
-// TestPushesFollowRestarts checks that pointers are pushed again to a holder
-// that has lost them.
-func TestPushesFollowRestarts(t *testing.T) {
+// TestPointersAreRestoredAfterHolderRestart checks that pointers are pushed again to an
+// agent that has lost them.
+func TestPointersAreRestoredAfterHolderRestart(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(2, 7, 1)
-	w.quiet = true
+	sim := newSimulation(2, 7, 1)
+	sim.reliable = true
 	for i := range flows {
-		w.call(tupleOf(i))
+		sim.sendPacket(tupleOf(i))
 	}
 	advance := func() {
 		for range 400 {
-			w.step()
-			w.spread()
+			sim.step()
+			sim.adoptViews()
 		}
 	}
 	advance()
-	w.hosts[0].state, w.hosts[0].weight = view.Draining, 0
-	w.publish()
+	sim.hosts[0].state, sim.hosts[0].weight = view.Draining, 0
+	sim.publish()
 	advance()
-	owned := w.hosts[0].agent.Flows()
+	owned := sim.hosts[0].agent.Flows()
 	pointers := func() (n int) {
-		for _, h := range w.hosts[1:] {
+		for _, h := range sim.hosts[1:] {
 			for _, holding := range h.agent.Holdings()[1:] {
 				if holding.Owner.Seed == view.SeedOf("host-0") {
 					n += holding.Flows
@@ -133,21 +133,22 @@
 		}
 		return n
 	}
-	is.True(pointers() >= 2*owned) // the pick and its replacement
-	is.Equal(w.hosts[0].pusher.UnacknowledgedPointers(), 0)
-	before, sent := pointers(), w.hosts[0].pusher.Stats().Pointers
-	w.run(w.hosts[1])
+	is.True(pointers() >= 2*owned) // at the first and the second choice of placement
+	is.Equal(sim.hosts[0].pusher.UnacknowledgedPointers(), 0)
+	before, sent := pointers(), sim.hosts[0].pusher.Stats().Pointers
+	sim.startAgent(sim.hosts[1])
 	is.True(pointers() < before)
-	w.publish()
+	sim.publish()
 	advance()
 	is.Equal(pointers(), before)
-	t.Logf("%d owned flows: %d pointers, %d bytes at the drain, %d bytes at the restart of one holder",
-		owned, before, sent*locator.PointerSize, (w.hosts[0].pusher.Stats().Pointers-sent)*locator.PointerSize)
+	t.Logf("%d owned flows: %d pointers, %d bytes pushed by the drain, %d bytes by the restart of one holder",
+		owned, before, sent*locator.PointerSize, (sim.hosts[0].pusher.Stats().Pointers-sent)*locator.PointerSize)
 }
 
-// TestBalance fills seven hosts with 2,000 flows each, through a drain and a
-// join, and compares max/mean with placement by hash alone.
-func TestBalance(t *testing.T) {
+// TestFlowCountsStayBalanced opens 2,000 flows for each of seven hosts, drains one host and
+// lets it join again. The max/mean ratio of their flow counts must stay within target; that
+// of placement by hash alone is logged for comparison.
+func TestFlowCountsStayBalanced(t *testing.T) {
 	const (
 		hosts   = 7
 		perHost = 2000
@@ -155,59 +156,60 @@
 	)
 	is := is.New(t)
 	for seed := range uint64(2) {
-		w := newWorld(seed, hosts, 2)
-		w.quiet = true
+		sim := newSimulation(seed, hosts, 2)
+		sim.reliable = true
 		byHash := make([]int, hosts)
 		next := 0
 		open := func(n int) {
 			for i := range n {
-				byHash[placement.Pick(tupleOf(next).Key(), w.balancers[0].View(service))]++
-				w.call(tupleOf(next))
+				byHash[placement.Pick(tupleOf(next).Key(), sim.balancers[0].View(service))]++
+				sim.sendPacket(tupleOf(next))
 				next++
 				if i%20 == 0 { // 4,000 new flows a second
-					w.step()
-					w.spread()
+					sim.step()
+					sim.adoptViews()
 				}
 			}
 			for range 20 {
-				w.step()
+				sim.step()
 			}
 		}
 		churn := func(n int) {
 			for range n {
-				w.end(tupleOf(w.rng.IntN(next)))
+				sim.endFlow(tupleOf(sim.rng.IntN(next)))
 				open(1)
 			}
 		}
 		open(hosts * perHost)
-		hash, filled := spreadOf(byHash), w.spreadOfReady()
+		byHashRatio, filled := maxToMean(byHash), sim.readyMaxToMean()
 		is.True(filled <= target)
-		w.hosts[3].state, w.hosts[3].weight = view.Draining, 0
-		w.publish()
+		sim.hosts[3].state, sim.hosts[3].weight = view.Draining, 0
+		sim.publish()
 		churn(perHost)
-		drained := w.spreadOfReady()
+		drained := sim.readyMaxToMean()
 		is.True(drained <= target)
-		w.hosts[3].state, w.hosts[3].weight = view.Ready, view.FullWeight
-		w.publish()
+		sim.hosts[3].state, sim.hosts[3].weight = view.Ready, view.FullWeight
+		sim.publish()
 		churn(3 * perHost)
-		joined := w.spreadOfReady()
+		joined := sim.readyMaxToMean()
 		is.True(joined <= target)
-		is.Equal(len(w.doubled), 0)
-		t.Logf("seed %d: max/mean by hash %.3f; with owners filled %.3f, drained %.3f, joined %.3f", seed, hash, filled, drained, joined)
+		is.Equal(len(sim.conflicts), 0)
+		t.Logf("seed %d: max/mean by hash %.3f; by load after filling %.3f, draining %.3f, joining %.3f", seed, byHashRatio, filled, drained, joined)
 	}
 }
 
-func (w *world) spreadOfReady() float64 {
+func (sim *simulation) readyMaxToMean() float64 {
 	var counts []int
-	for _, h := range w.hosts {
+	for _, h := range sim.hosts {
 		if h.state == view.Ready {
 			counts = append(counts, h.agent.Flows())
 		}
 	}
-	return spreadOf(counts)
+	return maxToMean(counts)
 }
 
-func spreadOf(counts []int) float64 {
+// maxToMean returns the ratio of the largest count to the mean.
+func maxToMean(counts []int) float64 {
 	sum := 0
 	for _, n := range counts {
 		sum += n
--- a/core/locator/sim_test.go
+++ b/core/locator/sim_test.go
@@ -14,38 +14,37 @@
 )
 
 const (
-	service  = view.ServiceID(1)
-	stepTime = 5 * time.Millisecond
+	service      = view.ServiceID(1)
+	stepDuration = 5 * time.Millisecond
 
-	reportEvery = time.Second
+	loadReportInterval = time.Second
 
-	window = 30 * time.Second
-	lease  = 3 * time.Second
-	zones  = 3
+	historyWindow = 30 * time.Second
+	lease         = 3 * time.Second
+	zones         = 3
 )
 
 var address = netip.MustParseAddrPort("127.1.0.1:443")
 
-// world is a fleet of one service with a naive table that knows every flow's
-// owner.
-type world struct {
-	rng       *rand.Rand
-	now       time.Duration
-	hosts     []*host
-	balancers []*flow.Balancer
-	published []publication
-	queue     queue
-	order     int
-	owners    map[flow.Tuple]owner
-	baselines []*baselineRun
-
-	loss       float64
-	late       float64
-	losePushes bool
-	quiet      bool // every message arrives and every view is adopted at once
+// simulation is a fleet of one service, with a reference table of every flow's owner.
+type simulation struct {
+	rng        *rand.Rand
+	now        time.Duration
+	hosts      []*host
+	balancers  []*flow.Balancer
+	published  []publication
+	queue      queue
+	eventCount int
+	owners     map[flow.Tuple]owner
+	baselines  []*baselineRun
+
+	lossRate   float64 // share of the messages that are lost
+	delayRate  float64 // share of the messages with a long delay
+	dropPushes bool    // every push is lost
+	reliable   bool    // no message is lost or delayed, and views are adopted at once
 	delivered  int
 	reached    map[flow.Tuple]bool
-	doubled    []string
+	conflicts  []string // deliveries at an agent while another owned the flow
 }
 
 type owner struct {
@@ -65,13 +64,13 @@
 	state       view.State
 	weight      uint32
 	alive       bool
-	diedAt      time.Duration
-	joinedAt    view.Version // of the view in which this run first appeared
+	failedAt    time.Duration
+	joinedAt    view.Version // of the first view with this incarnation
 	agent       *flow.Agent
 	pusher      *locator.Pusher
 }
 
-// baselineRun counts flows that a method of placement alone would have broken.
+// baselineRun records the flows that a placement method without pointers would break.
 type baselineRun struct {
 	pick   func(key uint64, v *view.View) int
 	owners map[flow.Tuple]owner
@@ -79,19 +78,19 @@
 }
 
 type event struct {
-	at     time.Duration
-	order  int
-	to     flow.Peer
-	packet *flow.Packet
-	batch  *locator.Batch
-	ack    *locator.Ack
+	at       time.Duration
+	sequence int // orders events of the same time
+	to       flow.Peer
+	packet   *flow.Packet
+	batch    *locator.Batch
+	ack      *locator.Ack
 }
 
 type queue []event
 
 func (q queue) Len() int { return len(q) }
 func (q queue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
 }
 func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 func (q *queue) Push(x any)   { *q = append(*q, x.(event)) }
@@ -106,26 +105,26 @@
 	return flow.Tuple{Caller: caller, Service: address}
 }
 
-func newWorld(seed uint64, hosts, balancers int) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 1)), owners: map[flow.Tuple]owner{}, reached: map[flow.Tuple]bool{}, loss: 0.05, late: 0.02}
+func newSimulation(seed uint64, hosts, balancers int) *simulation {
+	sim := &simulation{rng: rand.New(rand.NewPCG(seed, 1)), owners: map[flow.Tuple]owner{}, reached: map[flow.Tuple]bool{}, lossRate: 0.05, delayRate: 0.02}
 	for i := range hosts {
 		h := &host{index: i, state: view.Ready, weight: view.FullWeight}
-		w.hosts = append(w.hosts, h)
-		w.run(h)
+		sim.hosts = append(sim.hosts, h)
+		sim.startAgent(h)
 	}
-	w.publish()
+	sim.publish()
 	for range balancers {
-		w.balancers = append(w.balancers, nil)
-		w.startBalancer(len(w.balancers) - 1)
+		sim.balancers = append(sim.balancers, nil)
+		sim.startBalancer(len(sim.balancers) - 1)
 	}
-	w.quiet = true
-	w.spread()
-	w.quiet = false
-	return w
+	sim.reliable = true
+	sim.adoptViews()
+	sim.reliable = false
+	return sim
 }
 
-// run starts a host's agent anew.
-func (w *world) run(h *host) {
+// startAgent starts a new incarnation of a host's agent.
+func (sim *simulation) startAgent(h *host) {
 	h.incarnation++
 	h.alive = true
 	self := flow.Peer{Seed: view.SeedOf(h.id()), Incarnation: h.incarnation, Addr: h.addr()}
@@ -140,11 +139,11 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 1, byte(h.index)}), 7000)
 }
 
-// publish makes a new view of the hosts' states.
-func (w *world) publish() {
-	version := view.Version{Epoch: 1, Number: uint64(len(w.published) + 1)}
-	members := make([]view.BackendServer, len(w.hosts))
-	for i, h := range w.hosts {
+// publish publishes a view of the hosts' current states.
+func (sim *simulation) publish() {
+	version := view.Version{Epoch: 1, Number: uint64(len(sim.published) + 1)}
+	members := make([]view.BackendServer, len(sim.hosts))
+	for i, h := range sim.hosts {
 		if h.joinedAt == (view.Version{}) {
 			h.joinedAt = version
 		}
@@ -154,8 +153,8 @@
 		}
 	}
 	v := view.New(service, version, members)
-	for i := len(w.published) - 1; i >= 0 && w.now-w.published[i].at <= window; i-- {
-		old := w.published[i].view
+	for i := len(sim.published) - 1; i >= 0 && sim.now-sim.published[i].at <= historyWindow; i-- {
+		old := sim.published[i].view
 		past := view.EarlierWeights{Version: old.Version, Weights: make([]uint32, len(members))}
 		for m := range old.Members {
 			past.Weights[m] = old.Members[m].PlacementWeight()
@@ -163,145 +162,146 @@
 		v.Earlier = append(v.Earlier, past)
 	}
 	v.Prepare()
-	w.published = append(w.published, publication{at: w.now, view: v})
+	sim.published = append(sim.published, publication{at: sim.now, view: v})
 }
 
-// adopt returns the view that a process gets hold of now, up to three seconds
-// old.
-func (w *world) adopt() *view.View {
-	i := len(w.published) - 1
-	for ; i > 0 && !w.quiet && w.now-w.published[i].at < time.Duration(w.rng.IntN(3000))*time.Millisecond; i-- {
+// availableView returns the view that a process receives now: the newest one if reliable,
+// else possibly one that was superseded up to three seconds ago.
+func (sim *simulation) availableView() *view.View {
+	i := len(sim.published) - 1
+	for ; i > 0 && !sim.reliable && sim.now-sim.published[i].at < time.Duration(sim.rng.IntN(3000))*time.Millisecond; i-- {
 	}
-	return w.published[i].view
+	return sim.published[i].view
 }
 
-func (w *world) startBalancer(i int) {
-	b := flow.NewBalancer(window)
+func (sim *simulation) startBalancer(i int) {
+	b := flow.NewBalancer(historyWindow)
 	b.SetBindings(view.Version{Epoch: 1}, []flow.Binding{{Address: address, Service: service}})
-	b.SetView(w.now, w.adopt())
-	w.balancers[i] = b
+	b.SetView(sim.now, sim.availableView())
+	sim.balancers[i] = b
 }
 
-// spread lets processes adopt views.
-func (w *world) spread() {
-	for _, b := range w.balancers {
-		if w.quiet || w.rng.IntN(100) == 0 {
-			b.SetView(w.now, w.adopt())
-			b.Tick(w.now)
+// adoptViews lets a random selection of processes adopt views; all of them if reliable.
+func (sim *simulation) adoptViews() {
+	for _, b := range sim.balancers {
+		if sim.reliable || sim.rng.IntN(100) == 0 {
+			b.SetView(sim.now, sim.availableView())
+			b.Tick(sim.now)
 		}
 	}
-	for _, h := range w.hosts {
-		if !h.alive || !w.quiet && w.rng.IntN(100) != 0 {
+	for _, h := range sim.hosts {
+		if !h.alive || !sim.reliable && sim.rng.IntN(100) != 0 {
 			continue
 		}
-		if v := w.adopt(); h.agent.SetView(w.now, v) {
-			h.pusher.SetView(w.now, v)
+		if v := sim.availableView(); h.agent.SetView(sim.now, v) {
+			h.pusher.SetView(sim.now, v)
 		}
 	}
 }
 
-// expire ends the leases of dead hosts, restarts them, and lets joined hosts
-// serve once they hold a view.
-func (w *world) expire() {
-	for _, h := range w.hosts {
+// expireLeases ends the leases of failed hosts, restarts them later, and makes joining
+// hosts ready once they have adopted a view that lists them.
+func (sim *simulation) expireLeases() {
+	for _, h := range sim.hosts {
 		v := h.agent.View()
 		switch {
-		case !h.alive && h.state != view.Gone && w.now-h.diedAt > lease:
+		case !h.alive && h.state != view.Gone && sim.now-h.failedAt > lease:
 			h.state, h.weight = view.Gone, 0
-		case !h.alive && h.state == view.Gone && w.now-h.diedAt > 3*lease:
-			w.run(h)
+		case !h.alive && h.state == view.Gone && sim.now-h.failedAt > 3*lease:
+			sim.startAgent(h)
 			h.state, h.weight, h.joinedAt = view.Joining, 0, view.Version{}
 		case h.alive && h.state == view.Joining && v != nil && !h.joinedAt.Newer(v.Version):
 			h.state, h.weight = view.Ready, view.FullWeight
 		default:
 			continue
 		}
-		w.publish()
+		sim.publish()
 	}
 }
 
-// send puts a message on its way, or loses it.
-func (w *world) send(e event) {
-	if w.losePushes && e.batch != nil && e.batch.Sequence != 0 {
+// send queues a message with a random delay, or loses it.
+func (sim *simulation) send(e event) {
+	if sim.dropPushes && e.batch != nil && e.batch.Sequence != 0 {
 		return
 	}
-	delay := time.Duration(1+w.rng.IntN(20)) * time.Millisecond
-	if !w.quiet {
-		if w.rng.Float64() < w.loss {
+	delay := time.Duration(1+sim.rng.IntN(20)) * time.Millisecond
+	if !sim.reliable {
+		if sim.rng.Float64() < sim.lossRate {
 			return
 		}
-		if w.rng.Float64() < w.late {
-			delay += time.Duration(w.rng.IntN(1500)) * time.Millisecond
+		if sim.rng.Float64() < sim.delayRate {
+			delay += time.Duration(sim.rng.IntN(1500)) * time.Millisecond
 		}
 	}
-	w.order++
-	e.at, e.order = w.now+delay, w.order
-	heap.Push(&w.queue, e)
+	sim.eventCount++
+	e.at, e.sequence = sim.now+delay, sim.eventCount
+	heap.Push(&sim.queue, e)
 }
 
-// call sends one packet of a flow through any balancer.
-func (w *world) call(t flow.Tuple) {
-	b := w.balancers[w.rng.IntN(len(w.balancers))]
+// sendPacket sends one packet of a flow through a random balancer.
+func (sim *simulation) sendPacket(t flow.Tuple) {
+	b := sim.balancers[sim.rng.IntN(len(sim.balancers))]
 	d, err := b.Forward(t)
 	if err != nil {
 		return
 	}
 	p := d.Packet(t)
-	w.send(event{to: d.Target, packet: &p})
-	for _, run := range w.baselines {
-		run.call(w, t, b.View(service))
+	sim.send(event{to: d.Target, packet: &p})
+	for _, run := range sim.baselines {
+		run.place(sim, t, b.View(service))
 	}
 }
 
-func (r *baselineRun) call(w *world, t flow.Tuple, v *view.View) {
+// place places one packet and records whether that breaks its flow.
+func (r *baselineRun) place(sim *simulation, t flow.Tuple, v *view.View) {
 	i := r.pick(t.Key(), v)
-	if i == placement.None || !w.hosts[i].alive {
+	if i == placement.None || !sim.hosts[i].alive {
 		return
 	}
-	now := owner{i, w.hosts[i].incarnation}
+	now := owner{i, sim.hosts[i].incarnation}
 	was, known := r.owners[t]
-	if known && was != now && w.lives(was) {
+	if known && was != now && sim.isAlive(was) {
 		r.broken[t] = true
 	}
 	r.owners[t] = now
 }
 
-func (w *world) lives(o owner) bool {
-	return w.hosts[o.host].alive && w.hosts[o.host].incarnation == o.incarnation
+func (sim *simulation) isAlive(o owner) bool {
+	return sim.hosts[o.host].alive && sim.hosts[o.host].incarnation == o.incarnation
 }
 
-// step advances the time and handles what is due.
-func (w *world) step() {
-	w.now += stepTime
-	if w.now%reportEvery == 0 {
-		w.report()
+// step advances the time and processes the events that are due.
+func (sim *simulation) step() {
+	sim.now += stepDuration
+	if sim.now%loadReportInterval == 0 {
+		sim.reportLoads()
 	}
-	for len(w.queue) > 0 && w.queue[0].at <= w.now {
-		w.receive(heap.Pop(&w.queue).(event))
+	for len(sim.queue) > 0 && sim.queue[0].at <= sim.now {
+		sim.receive(heap.Pop(&sim.queue).(event))
 	}
-	for _, h := range w.hosts {
+	for _, h := range sim.hosts {
 		if !h.alive {
 			continue
 		}
-		for _, m := range h.pusher.Tick(w.now) {
-			w.send(event{to: m.To, batch: &m.Batch})
+		for _, m := range h.pusher.Tick(sim.now) {
+			sim.send(event{to: m.To, batch: &m.Batch})
 		}
 	}
 }
 
-func (w *world) receive(e event) {
-	h := w.hosts[e.to.Addr.Addr().As4()[3]]
+func (sim *simulation) receive(e event) {
+	h := sim.hosts[e.to.Addr.Addr().As4()[3]]
 	if !h.alive || e.to.Incarnation != h.incarnation && e.packet == nil {
 		return
 	}
 	switch {
 	case e.packet != nil:
-		w.receivePacket(h, e.packet)
+		sim.receivePacket(h, e.packet)
 	case e.batch != nil:
-		h.agent.Learn(w.now, e.batch.From, e.batch.Owner, e.batch.Flows)
+		h.agent.Learn(sim.now, e.batch.From, e.batch.Owner, e.batch.Flows)
 		if e.batch.Sequence != 0 {
 			self := flow.Peer{Seed: view.SeedOf(h.id()), Incarnation: h.incarnation}
-			w.send(event{to: e.batch.From, ack: &locator.Ack{Sequence: e.batch.Sequence, From: self}})
+			sim.send(event{to: e.batch.From, ack: &locator.Ack{Sequence: e.batch.Sequence, From: self}})
 		}
 	default:
 		h.agent.Heard(e.ack.From)
@@ -309,31 +309,31 @@
 	}
 }
 
-func (w *world) receivePacket(h *host, p *flow.Packet) {
+func (sim *simulation) receivePacket(h *host, p *flow.Packet) {
 	t := p.Tuple
-	action := h.agent.Receive(w.now, p)
+	action := h.agent.Receive(sim.now, p)
 	if !action.Tell.IsZero() {
 		h.pusher.QueueAnswer(action.Tell, action.Owner, t.ID())
 	}
 	switch action.Verdict {
 	case flow.Relay:
-		w.send(event{to: action.To, packet: p})
+		sim.send(event{to: action.To, packet: p})
 	case flow.Deliver:
 		if action.Opened {
 			h.pusher.AddFlow(t.ID())
 		}
-		w.deliver(h, t)
+		sim.deliver(h, t)
 	}
 }
 
-// deliver compares a delivery with the naive table.
-func (w *world) deliver(h *host, t flow.Tuple) {
-	w.delivered++
-	w.reached[t] = true
+// deliver checks a delivery against the reference table.
+func (sim *simulation) deliver(h *host, t flow.Tuple) {
+	sim.delivered++
+	sim.reached[t] = true
 	now := owner{h.index, h.incarnation}
-	was, known := w.owners[t]
-	if known && was != now && w.lives(was) {
-		w.doubled = append(w.doubled, fmt.Sprintf("%v: %v delivered at %v, owned at %v", w.now, t.Caller, now, was))
+	was, known := sim.owners[t]
+	if known && was != now && sim.isAlive(was) {
+		sim.conflicts = append(sim.conflicts, fmt.Sprintf("%v: %v delivered at %v, owned at %v", sim.now, t.Caller, now, was))
 	}
-	w.owners[t] = now
+	sim.owners[t] = now
 }
