--- a/core/locator/locator.go
+++ b/core/locator/locator.go
@@ -232,7 +232,8 @@
 }
 
 // QueueAnswer queues a pointer to owner for the agent that has queried the owner of a
-// flow. It is sent once, without an acknowledgement.
+// flow. It is sent once, without an acknowledgement. Pointers beyond BatchSize for one
+// receiver and owner are dropped until the next Tick.
 func (p *Pusher) QueueAnswer(to, owner flow.Peer, id flow.ID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/core/steer/agent.go
+++ b/core/steer/host.go
@@ -171,7 +171,7 @@
 }
 
 // StartIncarnation records a new incarnation of the backend server, and drops the flows
-// of the one before. mayHaveFlows tells that the incarnation may have started, and
+// of the one before. mayHaveFlows is set if the incarnation may have started, and
 // accepted flows, before this process.
 func (a *Agent) StartIncarnation(incarnation view.Incarnation, mayHaveFlows bool) {
 	a.mu.Lock()
