--- a/core/steer/balancer.go
+++ b/core/steer/balancer.go
@@ -61,10 +61,10 @@
 }
 
 const (
-	// maxCandidates is the number of members whose loads are compared for a new
-	// flow. They are the first in the search order of the flow's key, so that a search
-	// finds the flow within as many probes.
-	maxCandidates = 3
+	// maxPlacementCandidates is the number of members whose loads are compared for a
+	// new flow. They are the first in rendezvous order that accept new flows, so that a
+	// search usually finds the flow within as many probes.
+	maxPlacementCandidates = 3
 	// maxSearchMembers is the number of members that a search may probe.
 	maxSearchMembers = 64
 	// maxPlacementAttempts is the number of members that may refuse a new flow before
@@ -81,7 +81,7 @@
 	// Hops is the number of members that have returned the segment.
 	Hops uint8
 	// OwnerKnown is set if To is the cached owner rather than the target of a probe
-	// or of a placement.
+	// or of a placement. The owner may not have confirmed the flow yet.
 	OwnerKnown bool
 }
 
@@ -154,9 +154,10 @@
 	return Decision{Verdict: Reset, Reason: ReasonNoRoute}
 }
 
-// steerSYN places a new flow. A retransmitted SYN is forwarded to the member that got
-// the original if that member has confirmed the flow; otherwise that member becomes
-// suspect and the flow is placed again.
+// steerSYN places a new flow. If the flow was placed before, the SYN is forwarded to the
+// same member if that has confirmed the flow, or if the SYN is not a later
+// retransmission than the one that placed it. Otherwise the member becomes suspect and
+// the flow is placed again.
 func (b *Balancer) steerSYN(now time.Duration, t *Table, s *Segment, id flow.ID) Decision {
 	o, cached := b.owners.get(now, id)
 	if !cached {
@@ -214,7 +215,7 @@
 	members := t.searchOrder(id.Key, s.Tuple.Service)
 	truncated := len(members) > maxSearchMembers
 	b.loads.sortUnresponsiveLast(members)
-	next := b.searches.nextProbe(now, id, members[:min(len(members), maxSearchMembers)], returnedBy)
+	next := b.searches.nextStep(now, id, members[:min(len(members), maxSearchMembers)], returnedBy)
 	if next.unresponsive != nil {
 		b.loads.markUnresponsive(next.unresponsive)
 	}
@@ -242,7 +243,8 @@
 // ReturnInfo describes the return of a segment by a member.
 type ReturnInfo struct {
 	Service view.ServiceID
-	Seed    uint64
+	// Seed is the hash seed of the member that has returned the segment.
+	Seed uint64
 	// Hops is copied from the decision that forwarded the segment.
 	Hops uint8
 	// BackendDown is set if the flow's backend server is down.
--- a/core/steer/balancer_test.go
+++ b/core/steer/balancer_test.go
@@ -69,20 +69,20 @@
 	return probed, last
 }
 
-func TestSearchFindsPlacedFlowWithinMaxCandidates(t *testing.T) {
+func TestSearchFindsPlacedFlowWithinMaxPlacementCandidates(t *testing.T) {
 	is := is.New(t)
 	placing, searching := newBalancer(servers(1, 9)...), newBalancer(servers(1, 9)...)
 	for n := range 500 {
 		// Placements expire before the next flow, so that no member is overloaded.
-		placed := placing.Steer(testNow+time.Duration(n)*2*placementTime, syn(n))
+		placed := placing.Steer(testNow+time.Duration(n)*2*placementTTL, syn(n))
 		is.Equal(placed.Verdict, Forward)
-		found := searching.Steer(testNow, data(n))
+		probe := searching.Steer(testNow, data(n))
 		probes := 1
-		for found.To != placed.To {
+		for probe.To != placed.To {
 			probes++
-			found = searching.HandleReturn(testNow, data(n), ReturnInfo{Service: testService, Seed: found.To.Seed, Hops: found.Hops})
+			probe = searching.HandleReturn(testNow, data(n), ReturnInfo{Service: testService, Seed: probe.To.Seed, Hops: probe.Hops})
 		}
-		is.True(probes <= maxCandidates)
+		is.True(probes <= maxPlacementCandidates)
 	}
 }
 
@@ -275,8 +275,8 @@
 	b.ReportLoad(testNow, testService, view.SeedOf("host-1"), Load{RunningRequests: 4})
 	is.Equal(b.Steer(testNow, retransmitted), Decision{Verdict: Drop, Reason: ReasonOverloaded})
 	is.Equal(b.Steer(testNow, syn(2)).Verdict, Forward)
-	b.ReportLoad(testNow+placementTime+1, testService, view.SeedOf("host-1"), Load{RunningRequests: 3})
-	is.Equal(b.Steer(testNow+placementTime+1, retransmitted).Verdict, Forward)
+	b.ReportLoad(testNow+placementTTL+1, testService, view.SeedOf("host-1"), Load{RunningRequests: 3})
+	is.Equal(b.Steer(testNow+placementTTL+1, retransmitted).Verdict, Forward)
 }
 
 func TestServicesAreSelectedByWeight(t *testing.T) {
--- a/core/steer/host.go
+++ b/core/steer/host.go
@@ -35,7 +35,8 @@
 	// selected.
 	Incarnation view.Incarnation
 	// Balancer is the address to return the segment to.
-	Balancer   netip.AddrPort
+	Balancer netip.AddrPort
+	// Hops and OwnerKnown are those of the balancer's Decision.
 	Hops       uint8
 	OwnerKnown bool
 }
@@ -91,8 +92,8 @@
 	maxSilencePerTick = 200 * time.Millisecond
 	// closedFlowTTL is how long a flow is kept after both ends have closed it.
 	closedFlowTTL = 2 * time.Second
-	// openingTime is how long after its opening a flow without a request counts as a
-	// running request.
+	// openingTime is how long after its last segment an opened flow without a request
+	// counts as a running request.
 	openingTime = 300 * time.Millisecond
 	// maxProbes bounds the probed flows whose balancers wait for a notification.
 	maxProbes = 8192
@@ -272,8 +273,8 @@
 	return RefusalNone
 }
 
-// touchFlow returns the record of a flow, which it creates if necessary, and sets its
-// last use to now.
+// touchFlow returns the record of a flow, which it creates if necessary, and sets
+// lastSeen to now.
 func (a *Agent) touchFlow(now time.Duration, id flow.ID) *backendFlow {
 	f := a.flows[id]
 	if f == nil {
@@ -284,7 +285,7 @@
 	return f
 }
 
-// trackCaller updates a flow by a segment of its caller.
+// trackCaller updates a flow from a segment sent by its caller.
 func (a *Agent) trackCaller(now time.Duration, f *backendFlow, s *Segment) {
 	if f == nil {
 		return
@@ -299,8 +300,8 @@
 	}
 }
 
-// advanceRequest reports whether a segment carries bytes beyond requestEnd, and moves
-// requestEnd after them.
+// advanceRequest reports whether a segment carries bytes beyond requestEnd, and advances
+// requestEnd past them.
 func (f *backendFlow) advanceRequest(s *Segment) bool {
 	end := s.Seq + uint32(s.Length)
 	if int32(end-f.requestEnd) <= 0 && f.requestEnd != 0 {
@@ -354,7 +355,7 @@
 	delete(a.flows, id)
 }
 
-// ObserveReply updates a flow by a segment of the backend server. It returns the
+// ObserveReply updates a flow from a segment sent by the backend server. It returns the
 // balancer to notify that the flow is owned here, if any.
 func (a *Agent) ObserveReply(now time.Duration, s *Segment) (notify netip.AddrPort) {
 	a.mu.Lock()
--- a/core/steer/loads.go
+++ b/core/steer/loads.go
@@ -26,9 +26,9 @@
 	flowCost = 250
 	// requestCost is the load of a running request, in the unit of flowCost.
 	requestCost = 1000
-	// placementTime is how long a placed flow is counted in addition to the reports,
-	// which may not include it yet.
-	placementTime = 100 * time.Millisecond
+	// placementTTL is how long a placed flow is counted in addition to the reports,
+	// which may not include it yet, unless the member confirms it earlier.
+	placementTTL = 100 * time.Millisecond
 	// reportTTL is how long a report is valid. Agents report an unchanged load more
 	// often than that to the balancers that send them packets.
 	reportTTL = 3 * time.Second
@@ -67,12 +67,12 @@
 
 func (l *loadTracker) loadOf(m *member) *memberLoad {
 	key := memberKey{m.service, m.peer.Seed}
-	found := l.byMember[key]
-	if found == nil {
-		found = &memberLoad{}
-		l.byMember[key] = found
+	ml := l.byMember[key]
+	if ml == nil {
+		ml = &memberLoad{}
+		l.byMember[key] = ml
 	}
-	return found
+	return ml
 }
 
 // report stores a load report. As the member has responded, it is no longer suspect or
@@ -80,8 +80,8 @@
 func (l *loadTracker) report(now time.Duration, m *member, load Load) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	found := l.loadOf(m)
-	found.report, found.reportedAt, found.suspectedUntil, found.isUnresponsive = load, now, 0, false
+	ml := l.loadOf(m)
+	ml.report, ml.reportedAt, ml.suspectedUntil, ml.isUnresponsive = load, now, 0, false
 }
 
 // suspect excludes a member from placement for suspectTime.
@@ -102,8 +102,8 @@
 func (l *loadTracker) markResponsive(service view.ServiceID, seed uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if found := l.byMember[memberKey{service, seed}]; found != nil {
-		found.isUnresponsive = false
+	if ml := l.byMember[memberKey{service, seed}]; ml != nil {
+		ml.isUnresponsive = false
 	}
 }
 
@@ -112,24 +112,24 @@
 func (l *loadTracker) confirmPlacement(service view.ServiceID, seed uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	found := l.byMember[memberKey{service, seed}]
-	if found == nil {
+	ml := l.byMember[memberKey{service, seed}]
+	if ml == nil {
 		return
 	}
-	found.isUnresponsive = false
-	if len(found.placedAt) > 0 {
-		found.placedAt = found.placedAt[1:]
+	ml.isUnresponsive = false
+	if len(ml.placedAt) > 0 {
+		ml.placedAt = ml.placedAt[1:]
 	}
 }
 
-// sortUnresponsiveLast moves members that are unresponsive, gone or removed from their
-// view behind the others.
+// sortUnresponsiveLast moves to the end the members that are unresponsive, gone or
+// removed from their view.
 func (l *loadTracker) sortUnresponsiveLast(members []*member) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	rank := func(m *member) int {
-		found := l.byMember[memberKey{m.service, m.peer.Seed}]
-		if m.isGone || m.removedAt > 0 || found != nil && found.isUnresponsive {
+		ml := l.byMember[memberKey{m.service, m.peer.Seed}]
+		if m.isGone || m.removedAt > 0 || ml != nil && ml.isUnresponsive {
 			return 1
 		}
 		return 0
@@ -160,11 +160,11 @@
 		if fallback == nil {
 			fallback = m
 		}
-		found := l.loadOf(m)
-		if found.suspectedUntil > now {
+		ml := l.loadOf(m)
+		if ml.suspectedUntil > now {
 			continue
 		}
-		load := found.cost(now, m)
+		load := ml.cost(now, m)
 		if m.zone != zone {
 			load += crossZonePenalty
 		}
@@ -176,8 +176,8 @@
 		best = fallback
 	}
 	if best != nil {
-		found := l.loadOf(best)
-		found.placedAt = append(found.placedAt, now)
+		ml := l.loadOf(best)
+		ml.placedAt = append(ml.placedAt, now)
 	}
 	return best
 }
@@ -198,8 +198,8 @@
 			continue
 		}
 		anyAccepts = true
-		found := l.loadOf(m)
-		if (int(found.validReport(now).RunningRequests)+found.recentPlacements(now))*10 < int(m.slots)*limit {
+		ml := l.loadOf(m)
+		if (int(ml.validReport(now).RunningRequests)+ml.recentPlacements(now))*10 < int(m.slots)*limit {
 			return false
 		}
 	}
@@ -207,30 +207,30 @@
 }
 
 // validReport returns the latest report, or a zero Load if it has expired.
-func (f *memberLoad) validReport(now time.Duration) Load {
-	if now-f.reportedAt > reportTTL {
+func (ml *memberLoad) validReport(now time.Duration) Load {
+	if now-ml.reportedAt > reportTTL {
 		return Load{}
 	}
-	return f.report
+	return ml.report
 }
 
 // recentPlacements returns the number of unconfirmed flows that were placed within
-// placementTime, and forgets older ones.
-func (f *memberLoad) recentPlacements(now time.Duration) int {
+// placementTTL, and deletes older placements.
+func (ml *memberLoad) recentPlacements(now time.Duration) int {
 	recent := 0
-	for i, at := range f.placedAt {
-		if now-at <= placementTime {
-			recent = len(f.placedAt) - i
+	for i, at := range ml.placedAt {
+		if now-at <= placementTTL {
+			recent = len(ml.placedAt) - i
 			break
 		}
 	}
-	f.placedAt = f.placedAt[len(f.placedAt)-recent:]
+	ml.placedAt = ml.placedAt[len(ml.placedAt)-recent:]
 	return recent
 }
 
 // cost returns the load per slot at full weight, in thousandths of a running request.
-func (f *memberLoad) cost(now time.Duration, m *member) uint64 {
-	report := f.validReport(now)
-	total := uint64(report.Flows)*flowCost + (uint64(report.RunningRequests)+uint64(f.recentPlacements(now)))*requestCost
+func (ml *memberLoad) cost(now time.Duration, m *member) uint64 {
+	report := ml.validReport(now)
+	total := uint64(report.Flows)*flowCost + (uint64(report.RunningRequests)+uint64(ml.recentPlacements(now)))*requestCost
 	return total * view.FullWeight / (uint64(m.slots) * uint64(max(m.weight, 1)))
 }
--- a/core/steer/owners.go
+++ b/core/steer/owners.go
@@ -17,14 +17,15 @@
 	maxOwners = 8192
 )
 
-// owner is the member that a flow was forwarded to.
+// owner is the presumed owner of a flow: the member that the flow was placed on, or the
+// one that has confirmed it.
 type owner struct {
 	service view.ServiceID
 	seed    uint64
 	// confirmed is set once the member's agent has reported that it owns the flow.
 	confirmed bool
-	// retransmits is the highest Segment.Retransmits of the SYNs that were forwarded
-	// to the member.
+	// retransmits is Segment.Retransmits of the SYN that placed the flow. A SYN with
+	// a higher number shows that the member has not answered.
 	retransmits uint32
 }
 
@@ -55,14 +56,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.rotate(now)
-	if found, ok := s.current[id]; ok {
-		return found, true
+	if cached, ok := s.current[id]; ok {
+		return cached, true
 	}
-	found, ok := s.previous[id]
+	cached, ok := s.previous[id]
 	if ok {
-		s.current[id] = found
+		s.current[id] = cached
 	}
-	return found, ok
+	return cached, ok
 }
 
 func (o *ownerCache) set(now time.Duration, id flow.ID, to owner) {
--- a/core/steer/searches.go
+++ b/core/steer/searches.go
@@ -52,8 +52,8 @@
 	return s
 }
 
-// probe is the next step of a search.
-type probe struct {
+// searchStep is the result of nextStep: the next probe, or the end of the search.
+type searchStep struct {
 	// member is the member to forward the segment to; nil if all were probed.
 	member *member
 	hops   uint8
@@ -63,39 +63,39 @@
 	allAnswered bool
 }
 
-// nextProbe selects the member to forward a segment of the flow to. returnedBy is the
+// nextStep selects the member to forward a segment of the flow to. returnedBy is the
 // seed of the member that has just returned the segment, or 0 for a segment from the
 // caller. While an answer is pending, segments from the caller follow the pending probe.
-func (s *searchTable) nextProbe(now time.Duration, id flow.ID, members []*member, returnedBy uint64) probe {
+func (s *searchTable) nextStep(now time.Duration, id flow.ID, members []*member, returnedBy uint64) searchStep {
 	shard := &s.shards[id.Key%shardCount]
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
-	found := shard.byFlow[id]
-	if found == nil || now-found.probedAt > searchTTL {
-		found = &search{}
-		shard.put(now, id, found)
+	entry := shard.byFlow[id]
+	if entry == nil || now-entry.probedAt > searchTTL {
+		entry = &search{}
+		shard.put(now, id, entry)
 	}
-	var out probe
-	if len(found.probed) > 0 {
-		current := memberWithSeed(members, found.pendingProbe())
-		late := now-found.probedAt > probeTimeout
-		if found.pendingProbe() != returnedBy && !late && current != nil {
-			return probe{member: current, hops: uint8(len(found.probed) - 1)}
+	var out searchStep
+	if len(entry.probed) > 0 {
+		current := memberWithSeed(members, entry.pendingProbe())
+		late := now-entry.probedAt > probeTimeout
+		if entry.pendingProbe() != returnedBy && !late && current != nil {
+			return searchStep{member: current, hops: uint8(len(entry.probed) - 1)}
 		}
-		if found.pendingProbe() != returnedBy {
-			found.timedOut, out.unresponsive = true, current
+		if entry.pendingProbe() != returnedBy {
+			entry.timedOut, out.unresponsive = true, current
 		}
 	}
 	for _, m := range members {
-		if slices.Contains(found.probed, m.peer.Seed) {
+		if slices.Contains(entry.probed, m.peer.Seed) {
 			continue
 		}
-		found.probed, found.probedAt = append(found.probed, m.peer.Seed), now
-		out.member, out.hops = m, uint8(len(found.probed)-1)
+		entry.probed, entry.probedAt = append(entry.probed, m.peer.Seed), now
+		out.member, out.hops = m, uint8(len(entry.probed)-1)
 		return out
 	}
 	delete(shard.byFlow, id)
-	out.allAnswered = !found.timedOut
+	out.allAnswered = !entry.timedOut
 	return out
 }
 
@@ -106,8 +106,8 @@
 	for i := range s.shards {
 		shard := &s.shards[i]
 		shard.mu.Lock()
-		for id, found := range shard.byFlow {
-			switch waited := now - found.probedAt; {
+		for id, entry := range shard.byFlow {
+			switch waited := now - entry.probedAt; {
 			case waited > searchTTL:
 				delete(shard.byFlow, id)
 			case waited > probeTimeout && len(out) < maxOverdue:
--- a/core/steer/segment.go
+++ b/core/steer/segment.go
@@ -47,5 +47,7 @@
 // OpensFlow reports whether the segment is a SYN without an ACK, which opens a flow.
 func (s *Segment) OpensFlow() bool { return s.Flags&(SYN|ACK) == SYN }
 
-// MaxFlowLifetime is the longest lifetime of a flow.
+// MaxFlowLifetime is the longest lifetime of a flow. For that long, balancers probe
+// members that were removed from their view, and an agent that has restarted delivers
+// segments of flows that it has no record of.
 const MaxFlowLifetime = 60 * time.Second
--- a/core/steer/surge_test.go
+++ b/core/steer/surge_test.go
@@ -51,9 +51,9 @@
 	// requests finishes.
 	slotFreeAt map[uint64][]time.Duration
 	finishAt   map[uint64][]time.Duration
-	// served counts the callers answered before their timeout, inTarget those answered
-	// within surgeTarget, and newInTarget those of them that arrived after the outage.
-	served, inTarget, newInTarget int
+	// served counts the callers answered before their timeout, withinTarget those answered
+	// within surgeTarget, and newWithinTarget those of them that arrived after the outage.
+	served, withinTarget, newWithinTarget int
 }
 
 func newSurge(seed uint64) *surge {
@@ -130,9 +130,9 @@
 		s.served++
 	}
 	if end-s.firstSYNs[a.caller] <= surgeTarget {
-		s.inTarget++
+		s.withinTarget++
 		if a.caller >= surgeWaitingCallers {
-			s.newInTarget++
+			s.newWithinTarget++
 		}
 	}
 }
@@ -167,25 +167,25 @@
 func TestOverloadLimitsServeMoreCallersInSurge(t *testing.T) {
 	is := is.New(t)
 	for seed := range uint64(5) {
-		naive, paced := newSurge(seed), newSurge(seed)
-		naiveBalancer := newBalancer(servers(1, surgeServers)...)
-		naive.report = func(now time.Duration, seed uint64, load Load) {
-			naiveBalancer.ReportLoad(now, testService, seed, load)
+		unlimited, limited := newSurge(seed), newSurge(seed)
+		unlimitedBalancer := newBalancer(servers(1, surgeServers)...)
+		unlimited.report = func(now time.Duration, seed uint64, load Load) {
+			unlimitedBalancer.ReportLoad(now, testService, seed, load)
 		}
-		naive.policy = func(now time.Duration, s *Segment) Decision {
-			first := naiveBalancer.Table().placementCandidates(s.Tuple.ID().Key, testService)
-			return Decision{To: naiveBalancer.loads.selectLeastLoaded(now, first, "a").peer}
+		unlimited.policy = func(now time.Duration, s *Segment) Decision {
+			first := unlimitedBalancer.Table().placementCandidates(s.Tuple.ID().Key, testService)
+			return Decision{To: unlimitedBalancer.loads.selectLeastLoaded(now, first, "a").peer}
 		}
-		naive.run()
-		pacedBalancer := newBalancer(servers(1, surgeServers)...)
-		paced.report = func(now time.Duration, seed uint64, load Load) {
-			pacedBalancer.ReportLoad(now, testService, seed, load)
+		unlimited.run()
+		limitedBalancer := newBalancer(servers(1, surgeServers)...)
+		limited.report = func(now time.Duration, seed uint64, load Load) {
+			limitedBalancer.ReportLoad(now, testService, seed, load)
 		}
-		paced.policy = pacedBalancer.Steer
-		paced.run()
-		t.Logf("seed %d, %d callers: without limits %d in target, %d served, %d new in target; with limits %d, %d and %d",
-			seed, len(paced.firstSYNs), naive.inTarget, naive.served, naive.newInTarget, paced.inTarget, paced.served, paced.newInTarget)
-		is.True(paced.served*10 >= naive.served*11)         // at least 10% more callers are served
-		is.True(paced.newInTarget*4 >= naive.newInTarget*3) // at most 25% fewer new callers meet the target
+		limited.policy = limitedBalancer.Steer
+		limited.run()
+		t.Logf("seed %d, %d callers: without limits %d within target, %d served, %d new within target; with limits %d, %d and %d",
+			seed, len(limited.firstSYNs), unlimited.withinTarget, unlimited.served, unlimited.newWithinTarget, limited.withinTarget, limited.served, limited.newWithinTarget)
+		is.True(limited.served*10 >= unlimited.served*11)                 // at least 10% more callers are served
+		is.True(limited.newWithinTarget*4 >= unlimited.newWithinTarget*3) // at most 25% fewer new callers meet the target
 	}
 }
--- a/core/steer/table.go
+++ b/core/steer/table.go
@@ -41,7 +41,8 @@
 type Table struct {
 	routes  Routes
 	members map[view.ServiceID][]member
-	// partialViews is true for the services whose view may lack members.
+	// partialViews has an entry for each service whose view was received; it is true
+	// if the view may lack members.
 	partialViews map[view.ServiceID]bool
 }
 
@@ -119,9 +120,9 @@
 // AvailableMembers returns the number of members that accept new flows for an address.
 func (t *Table) AvailableMembers(addr netip.AddrPort) int {
 	n := 0
-	for _, p := range t.routes[addr] {
-		for i := range t.members[p.Service] {
-			if t.members[p.Service][i].acceptsNew {
+	for _, ws := range t.routes[addr] {
+		for i := range t.members[ws.Service] {
+			if t.members[ws.Service][i].acceptsNew {
 				n++
 			}
 		}
@@ -129,8 +130,8 @@
 	return n
 }
 
-// candidateServices returns the services that may own a flow, the most likely first.
-func (t *Table) candidateServices(key uint64, addr netip.AddrPort) []view.ServiceID {
+// servicesToSearch returns the services that may own a flow, the most likely first.
+func (t *Table) servicesToSearch(key uint64, addr netip.AddrPort) []view.ServiceID {
 	services := t.routes[addr]
 	var out []view.ServiceID
 	if selected, ok := selectService(key, services); ok {
@@ -141,8 +142,8 @@
 			out = append(out, id)
 		}
 	}
-	for _, p := range services {
-		add(p.Service)
+	for _, ws := range services {
+		add(ws.Service)
 	}
 	return out
 }
@@ -151,18 +152,18 @@
 // result is the same on every balancer.
 func selectService(key uint64, services []WeightedService) (view.ServiceID, bool) {
 	var total uint64
-	for _, p := range services {
-		total += uint64(p.Weight)
+	for _, ws := range services {
+		total += uint64(ws.Weight)
 	}
 	if total == 0 {
 		return 0, false
 	}
 	offset := placement.Mix(key, serviceHashSeed) % total
-	for _, p := range services {
-		if offset < uint64(p.Weight) {
-			return p.Service, true
+	for _, ws := range services {
+		if offset < uint64(ws.Weight) {
+			return ws.Service, true
 		}
-		offset -= uint64(p.Weight)
+		offset -= uint64(ws.Weight)
 	}
 	return 0, false
 }
@@ -202,16 +203,16 @@
 // pass and no sort of all members.
 func (t *Table) placementCandidates(key uint64, service view.ServiceID) []*member {
 	list := t.members[service]
-	first := make([]rankedMember, 0, maxCandidates+1)
+	first := make([]rankedMember, 0, maxPlacementCandidates+1)
 	for i := range list {
 		if !list[i].acceptsNew {
 			continue
 		}
 		r := t.rankMember(key, &list[i])
 		at, _ := slices.BinarySearchFunc(first, r, rankedMember.compare)
-		if at < maxCandidates {
+		if at < maxPlacementCandidates {
 			first = slices.Insert(first, at, r)
-			first = first[:min(len(first), maxCandidates)]
+			first = first[:min(len(first), maxPlacementCandidates)]
 		}
 	}
 	return membersOf(first)
@@ -228,7 +229,7 @@
 // searchOrder returns every member that may own the flow of key, the most likely first.
 func (t *Table) searchOrder(key uint64, addr netip.AddrPort) []*member {
 	var out []*member
-	for _, service := range t.candidateServices(key, addr) {
+	for _, service := range t.servicesToSearch(key, addr) {
 		out = append(out, t.rankMembers(key, service)...)
 	}
 	return out
@@ -237,7 +238,7 @@
 // hasCompleteViews reports whether the views of all services that may own a flow of an
 // address are present and complete.
 func (t *Table) hasCompleteViews(key uint64, addr netip.AddrPort) bool {
-	for _, service := range t.candidateServices(key, addr) {
+	for _, service := range t.servicesToSearch(key, addr) {
 		if !t.hasCompleteView(service) {
 			return false
 		}
--- a/core/steer/table_test.go
+++ b/core/steer/table_test.go
@@ -20,7 +20,7 @@
 	for key := range uint64(200) {
 		var want []*member
 		for _, m := range table.rankMembers(key, testService) {
-			if m.acceptsNew && len(want) < maxCandidates {
+			if m.acceptsNew && len(want) < maxPlacementCandidates {
 				want = append(want, m)
 			}
 		}
