--- a/core/locator/changes_test.go
+++ b/core/locator/changes_test.go
@@ -12,7 +12,7 @@
 	case choice == 0 && withFailures && h.alive && sim.readyHosts() > 2:
 		h.alive, h.failedAt = false, sim.now
 	case choice == 8 && withFailures && sim.readyHosts() > 4:
-		sim.failZone(h.index % zones)
+		sim.failZone(h.index % zoneCount)
 	case choice <= 2:
 		sim.startBalancer(sim.rng.IntN(len(sim.balancers)))
 		return
@@ -31,7 +31,7 @@
 }
 
 func (sim *simulation) failZone(zone int) {
-	for i := zone; i < len(sim.hosts); i += zones {
+	for i := zone; i < len(sim.hosts); i += zoneCount {
 		if sim.hosts[i].alive {
 			sim.hosts[i].alive, sim.hosts[i].failedAt = false, sim.now
 		}
--- a/core/locator/locator.go
+++ b/core/locator/locator.go
@@ -28,7 +28,8 @@
 	Service  view.ServiceID `cbor:"2,keyasint"`
 	// From is the sender.
 	From flow.Peer `cbor:"3,keyasint"`
-	// Owner is the owner of the flows. It is the sender unless Sequence is 0.
+	// Owner is the owner of the flows. It is the sender, except in an answer, which has
+	// Sequence 0 and may name another owner.
 	Owner flow.Peer `cbor:"4,keyasint"`
 	Flows []flow.ID `cbor:"5,keyasint"`
 }
@@ -45,7 +46,7 @@
 	Batch Batch
 }
 
-// FlowTable is the flow table whose owned flows a Pusher announces.
+// FlowTable is the flow table whose owned flows a Pusher pushes pointers for.
 type FlowTable interface {
 	// ForEachOwned calls f for each owned flow until f returns false.
 	ForEachOwned(f func(flow.ID) bool)
@@ -61,8 +62,8 @@
 	Flows FlowTable
 	// BatchSize is the maximum number of pointers in a batch.
 	BatchSize int
-	// BatchesPerTick is the maximum number of batches that one Tick sends, which limits
-	// the rate of pushing.
+	// BatchesPerTick is the maximum number of batches that one Tick pushes or resends,
+	// which limits the rate of pushing. Answers are sent in addition.
 	BatchesPerTick int
 	// RetryDelay is the delay before the first resend of an unacknowledged batch. It
 	// doubles with each resend up to MaxRetryDelay.
@@ -139,34 +140,35 @@
 }
 
 // AppendPointerHolders appends to peers the agents of v that must hold pointers to a
-// flow owned by self: the first and the second choice of placement, and the first choice
-// outside the availability zone of the first, so that after the loss of that agent or
-// its zone packets reach an agent with a pointer. A flow that is owned by its first
-// choice needs no pointers.
-func AppendPointerHolders(peers []flow.Peer, key uint64, v *view.View, self uint64) []flow.Peer {
+// flow owned by the agent with selfSeed: the first and the second choice of placement,
+// and the first choice outside the availability zone of the first, so that after the
+// loss of that agent or its zone packets reach an agent with a pointer. A flow that is
+// owned by its first choice needs no pointers.
+func AppendPointerHolders(peers []flow.Peer, key uint64, v *view.View, selfSeed uint64) []flow.Peer {
 	first, second := placement.PickTwo(key, v)
-	if first == placement.None || v.Seed(first) == self {
+	if first == placement.None || v.Seed(first) == selfSeed {
 		return peers
 	}
 	peers = append(peers, flow.PeerOf(v, first))
 	if second == placement.None {
 		return peers
 	}
-	if v.Seed(second) != self {
+	if v.Seed(second) != selfSeed {
 		peers = append(peers, flow.PeerOf(v, second))
 	}
 	if v.Members[first].Zone != v.Members[second].Zone {
 		return peers
 	}
 	outside := placement.PickOutsideZone(key, v, v.Members[first].Zone)
-	if outside != placement.None && v.Seed(outside) != self {
+	if outside != placement.None && v.Seed(outside) != selfSeed {
 		peers = append(peers, flow.PeerOf(v, outside))
 	}
 	return peers
 }
 
 // SetView adopts v if it is newer than the current view, and queues the pointers that v
-// requires and the previous view did not.
+// requires and the previous view did not. These include all pointers for an agent with a
+// new incarnation, as it has lost those of the earlier one.
 func (p *Pusher) SetView(now time.Duration, v *view.View) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -256,8 +258,8 @@
 	if h == nil || h.peer.Incarnation != a.From.Incarnation {
 		return
 	}
-	h.unacked = slices.DeleteFunc(h.unacked, func(s unackedBatch) bool {
-		if s.sequence == a.Sequence {
+	h.unacked = slices.DeleteFunc(h.unacked, func(b unackedBatch) bool {
+		if b.sequence == a.Sequence {
 			p.stats.Acked++
 			return true
 		}
@@ -320,19 +322,19 @@
 // that are no longer owned.
 func (p *Pusher) appendResends(out []Message, h *holder, now time.Duration, limit int) []Message {
 	for i := range h.unacked {
-		s := &h.unacked[i]
-		if now < s.resendAt || len(out) >= limit {
+		b := &h.unacked[i]
+		if now < b.resendAt || len(out) >= limit {
 			continue
 		}
-		s.flows = slices.DeleteFunc(s.flows, func(id flow.ID) bool { return !p.options.Flows.Owns(id) })
-		s.retryDelay = min(2*s.retryDelay, p.options.MaxRetryDelay)
-		s.resendAt = now + s.retryDelay
-		if len(s.flows) > 0 {
+		b.flows = slices.DeleteFunc(b.flows, func(id flow.ID) bool { return !p.options.Flows.Owns(id) })
+		b.retryDelay = min(2*b.retryDelay, p.options.MaxRetryDelay)
+		b.resendAt = now + b.retryDelay
+		if len(b.flows) > 0 {
 			p.stats.Resends++
-			out = append(out, p.message(h, s))
+			out = append(out, p.newMessage(h, b))
 		}
 	}
-	h.unacked = slices.DeleteFunc(h.unacked, func(s unackedBatch) bool { return len(s.flows) == 0 })
+	h.unacked = slices.DeleteFunc(h.unacked, func(b unackedBatch) bool { return len(b.flows) == 0 })
 	return out
 }
 
@@ -341,13 +343,13 @@
 	for len(h.queued) > 0 && len(out) < limit {
 		n := min(len(h.queued), p.options.BatchSize)
 		p.sequence++
-		s := unackedBatch{
+		b := unackedBatch{
 			sequence: p.sequence, flows: slices.Clone(h.queued[:n]),
 			resendAt: now + p.options.RetryDelay, retryDelay: p.options.RetryDelay,
 		}
 		h.queued = h.queued[n:]
-		h.unacked = append(h.unacked, s)
-		out = append(out, p.message(h, &s))
+		h.unacked = append(h.unacked, b)
+		out = append(out, p.newMessage(h, &b))
 	}
 	if len(h.queued) == 0 {
 		h.queued = nil
@@ -355,15 +357,16 @@
 	return out
 }
 
-func (p *Pusher) message(h *holder, s *unackedBatch) Message {
+// newMessage returns a batch as a message and counts it.
+func (p *Pusher) newMessage(h *holder, b *unackedBatch) Message {
 	p.stats.Batches++
-	p.stats.Pointers += uint64(len(s.flows))
+	p.stats.Pointers += uint64(len(b.flows))
 	return Message{To: h.peer, Batch: Batch{
-		Sequence: s.sequence,
+		Sequence: b.sequence,
 		Service:  p.view.Service,
 		From:     p.options.Self,
 		Owner:    p.options.Self,
-		Flows:    slices.Clone(s.flows),
+		Flows:    slices.Clone(b.flows),
 	}}
 }
 
@@ -382,8 +385,8 @@
 	n := 0
 	for _, h := range p.holders {
 		n += len(h.queued)
-		for _, s := range h.unacked {
-			n += len(s.flows)
+		for _, b := range h.unacked {
+			n += len(b.flows)
 		}
 	}
 	return n
--- a/core/locator/locator_test.go
+++ b/core/locator/locator_test.go
@@ -14,7 +14,7 @@
 	"fulmarmount.org/core/view"
 )
 
-const flows = 400
+const flowCount = 400
 
 // simulate runs a seeded schedule of packets and changes, then lets the fleet settle over
 // a reliable network and sends one more packet of every flow. It returns the number of
@@ -23,13 +23,13 @@
 	for range steps {
 		sim.step()
 		for range 4 {
-			sim.sendPacket(tupleOf(sim.rng.IntN(flows)))
+			sim.sendPacket(tupleOf(sim.rng.IntN(flowCount)))
 		}
 		if sim.rng.IntN(400) == 0 {
 			sim.changeMembership(withFailures)
 		}
 		if sim.rng.IntN(20) == 0 {
-			sim.endFlow(tupleOf(sim.rng.IntN(flows)))
+			sim.endFlow(tupleOf(sim.rng.IntN(flowCount)))
 		}
 		sim.expireLeases()
 		sim.adoptViews()
@@ -41,13 +41,13 @@
 		sim.adoptViews()
 	}
 	sim.reached = map[flow.Tuple]bool{}
-	for i := range flows {
+	for i := range flowCount {
 		sim.sendPacket(tupleOf(i))
 	}
 	for range 200 {
 		sim.step()
 	}
-	return flows - len(sim.reached)
+	return flowCount - len(sim.reached)
 }
 
 func modulo(key uint64, v *view.View) int { return baseline.NewModulo(v).Pick(key) }
@@ -72,7 +72,7 @@
 				}
 				unreachedCount := simulate(sim, 8_000, c.withFailures)
 				t.Logf("seed %d: %d views, %d deliveries; broken flows of %d: modulo %d, rendezvous only %d, with pointers %d",
-					seed, len(sim.published), sim.delivered, flows, len(sim.baselines[0].broken), len(sim.baselines[1].broken), len(sim.conflicts))
+					seed, len(sim.published), sim.delivered, flowCount, len(sim.baselines[0].broken), len(sim.baselines[1].broken), len(sim.conflicts))
 				is.Equal(sim.conflicts, nil)
 				is.Equal(unreachedCount, 0)
 			})
@@ -87,7 +87,7 @@
 	sim := newSimulation(1, 7, 3)
 	for range 400 {
 		sim.step()
-		sim.sendPacket(tupleOf(sim.rng.IntN(flows)))
+		sim.sendPacket(tupleOf(sim.rng.IntN(flowCount)))
 	}
 	sim.dropPushes = true
 	sim.hosts[0].state, sim.hosts[0].weight = view.Draining, 0
@@ -95,7 +95,7 @@
 	sim.startBalancer(0)
 	for range 4000 {
 		sim.step()
-		sim.sendPacket(tupleOf(sim.rng.IntN(flows)))
+		sim.sendPacket(tupleOf(sim.rng.IntN(flowCount)))
 		sim.adoptViews()
 	}
 	is.Equal(len(sim.conflicts), 0)
@@ -109,7 +109,7 @@
 	is := is.New(t)
 	sim := newSimulation(2, 7, 1)
 	sim.reliable = true
-	for i := range flows {
+	for i := range flowCount {
 		sim.sendPacket(tupleOf(i))
 	}
 	advance := func() {
--- a/core/locator/sim_test.go
+++ b/core/locator/sim_test.go
@@ -20,8 +20,8 @@
 	loadReportInterval = time.Second
 
 	historyWindow = 30 * time.Second
-	lease         = 3 * time.Second
-	zones         = 3
+	leaseDuration = 3 * time.Second
+	zoneCount     = 3
 )
 
 var address = netip.MustParseAddrPort("127.1.0.1:443")
@@ -65,7 +65,7 @@
 	weight      uint32
 	alive       bool
 	failedAt    time.Duration
-	joinedAt    view.Version // of the first view with this incarnation
+	joinVersion view.Version // of the first view with this incarnation
 	agent       *flow.Agent
 	pusher      *locator.Pusher
 }
@@ -144,22 +144,22 @@
 	version := view.Version{Epoch: 1, Number: uint64(len(sim.published) + 1)}
 	members := make([]view.BackendServer, len(sim.hosts))
 	for i, h := range sim.hosts {
-		if h.joinedAt == (view.Version{}) {
-			h.joinedAt = version
+		if h.joinVersion == (view.Version{}) {
+			h.joinVersion = version
 		}
 		members[i] = view.BackendServer{
-			ID: h.id(), Zone: fmt.Sprint("zone-", i%zones), Incarnation: h.incarnation,
+			ID: h.id(), Zone: fmt.Sprint("zone-", i%zoneCount), Incarnation: h.incarnation,
 			Packets: h.addr(), State: h.state, Weight: h.weight,
 		}
 	}
 	v := view.New(service, version, members)
 	for i := len(sim.published) - 1; i >= 0 && sim.now-sim.published[i].at <= historyWindow; i-- {
 		old := sim.published[i].view
-		past := view.EarlierWeights{Version: old.Version, Weights: make([]uint32, len(members))}
+		earlier := view.EarlierWeights{Version: old.Version, Weights: make([]uint32, len(members))}
 		for m := range old.Members {
-			past.Weights[m] = old.Members[m].PlacementWeight()
+			earlier.Weights[m] = old.Members[m].PlacementWeight()
 		}
-		v.Earlier = append(v.Earlier, past)
+		v.Earlier = append(v.Earlier, earlier)
 	}
 	v.Prepare()
 	sim.published = append(sim.published, publication{at: sim.now, view: v})
@@ -205,12 +205,12 @@
 	for _, h := range sim.hosts {
 		v := h.agent.View()
 		switch {
-		case !h.alive && h.state != view.Gone && sim.now-h.failedAt > lease:
+		case !h.alive && h.state != view.Gone && sim.now-h.failedAt > leaseDuration:
 			h.state, h.weight = view.Gone, 0
-		case !h.alive && h.state == view.Gone && sim.now-h.failedAt > 3*lease:
+		case !h.alive && h.state == view.Gone && sim.now-h.failedAt > 3*leaseDuration:
 			sim.startAgent(h)
-			h.state, h.weight, h.joinedAt = view.Joining, 0, view.Version{}
-		case h.alive && h.state == view.Joining && v != nil && !h.joinedAt.Newer(v.Version):
+			h.state, h.weight, h.joinVersion = view.Joining, 0, view.Version{}
+		case h.alive && h.state == view.Joining && v != nil && !h.joinVersion.Newer(v.Version):
 			h.state, h.weight = view.Ready, view.FullWeight
 		default:
 			continue
@@ -258,12 +258,12 @@
 	if i == placement.None || !sim.hosts[i].alive {
 		return
 	}
-	now := owner{i, sim.hosts[i].incarnation}
-	was, known := r.owners[t]
-	if known && was != now && sim.isAlive(was) {
+	current := owner{i, sim.hosts[i].incarnation}
+	previous, ok := r.owners[t]
+	if ok && previous != current && sim.isAlive(previous) {
 		r.broken[t] = true
 	}
-	r.owners[t] = now
+	r.owners[t] = current
 }
 
 func (sim *simulation) isAlive(o owner) bool {
@@ -330,10 +330,10 @@
 func (sim *simulation) deliver(h *host, t flow.Tuple) {
 	sim.delivered++
 	sim.reached[t] = true
-	now := owner{h.index, h.incarnation}
-	was, known := sim.owners[t]
-	if known && was != now && sim.isAlive(was) {
-		sim.conflicts = append(sim.conflicts, fmt.Sprintf("%v: %v delivered at %v, owned at %v", sim.now, t.Caller, now, was))
+	current := owner{h.index, h.incarnation}
+	previous, ok := sim.owners[t]
+	if ok && previous != current && sim.isAlive(previous) {
+		sim.conflicts = append(sim.conflicts, fmt.Sprintf("%v: %v delivered at %v, owned at %v", sim.now, t.Caller, current, previous))
 	}
-	sim.owners[t] = now
+	sim.owners[t] = current
 }
--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -87,7 +87,7 @@
 // candidate is a target with its hash for one key.
 type candidate struct {
 	hash   uint64
-	log    uint64 // negLog2(hash), or 0 until it is computed
+	negLog uint64 // negLog2(hash), or 0 until it is computed
 	weight uint32
 	index  int32
 }
@@ -122,10 +122,10 @@
 }
 
 func (c *candidate) negLog2() uint64 {
-	if c.log == 0 {
-		c.log = negLog2(c.hash)
+	if c.negLog == 0 {
+		c.negLog = negLog2(c.hash)
 	}
-	return c.log
+	return c.negLog
 }
 
 // Mix combines two 64-bit values into one well-distributed value by two folded
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -54,9 +54,9 @@
 				continue
 			}
 			is.True(placement.PickOutsideZone(key, v, v.Members[first].Zone) != first)
-			without := append([]view.BackendServer(nil), v.Members...)
-			without[first].State = view.Draining
-			rest := view.New(1, v.Version, without)
+			drained := append([]view.BackendServer(nil), v.Members...)
+			drained[first].State = view.Draining
+			rest := view.New(1, v.Version, drained)
 			if rest.IsDrainOnly() {
 				// No other member accepts new flows, so there is no second choice.
 				is.Equal(second, placement.None)
--- a/core/view/view.go
+++ b/core/view/view.go
@@ -160,7 +160,7 @@
 		weights[i] = v.Members[i].PlacementWeight()
 	}
 	v.targets = v.targetsByWeight(weights)
-	v.targetDraining()
+	v.setDrainOnlyTargets()
 	v.earlierTargets = make([][]Target, len(v.Earlier))
 	for i := range v.Earlier {
 		v.earlierTargets[i] = v.targetsByWeight(v.Earlier[i].Weights)
@@ -178,9 +178,9 @@
 	return targets
 }
 
-// targetDraining makes the draining members the targets if no member accepts new flows,
+// setDrainOnlyTargets makes the draining members the targets if no member accepts new flows,
 // so that packets of their existing flows are still routed to them.
-func (v *View) targetDraining() {
+func (v *View) setDrainOnlyTargets() {
 	if v.isDrainOnly = len(v.targets) == 0; !v.isDrainOnly {
 		return
 	}
@@ -222,8 +222,8 @@
 	return i
 }
 
-// Announcement is an agent's report of its state to control. It renews the agent's
-// lease.
+// Announcement is an agent's report of its state to the control leader. It renews the
+// agent's lease.
 type Announcement struct {
 	Service     string         `cbor:"1,keyasint"`
 	ID          string         `cbor:"2,keyasint"`
@@ -236,8 +236,8 @@
 	Draining bool `cbor:"8,keyasint"`
 	// Healthy is the result of the agent's health check of its backend server.
 	Healthy bool `cbor:"9,keyasint"`
-	// Sequence grows with every announcement of one incarnation. Control rejects an
-	// announcement that is not newer than the last one as a replay.
+	// Sequence grows with every announcement of one incarnation. The control leader
+	// rejects an announcement that is not newer than the last one as a replay.
 	Sequence uint64 `cbor:"10,keyasint"`
 	// Load is the number of running and queued requests.
 	Load uint32 `cbor:"11,keyasint"`
@@ -254,7 +254,8 @@
 	BackendDown bool `cbor:"16,keyasint,omitempty"`
 }
 
-// Load is the number of flows that an agent owned at its last announcement.
+// Load is the load by which agents place new flows: the number of flows that an agent
+// owned at its last announcement.
 type Load struct {
 	// Seed is the hash seed of the backend server's ID.
 	Seed  uint64 `cbor:"1,keyasint"`
