--- a/core/steer/host.go
+++ b/core/steer/host.go
@@ -110,7 +110,8 @@
 	routedAddrs     map[netip.AddrPort]bool
 	configVersion   view.Version
 	state           BackendState
-	// silence is the time since the last sign of life of the backend server.
+	// silence is the time since the last message from the backend server, as counted by
+	// Tick.
 	silence time.Duration
 	// silenceTimeout is the silence after which the backend server is considered down.
 	silenceTimeout time.Duration
--- a/core/steer/host_test.go
+++ b/core/steer/host_test.go
@@ -143,7 +143,7 @@
 	is.True(!a.IsDown())
 }
 
-// A paused agent process receives no sign of life, which proves nothing about the backend
+// A paused agent process receives no messages, which proves nothing about the backend
 // server.
 func TestPauseOfAgentIsNotCountedAsSilence(t *testing.T) {
 	is := is.New(t)
--- a/core/steer/owners.go
+++ b/core/steer/owners.go
@@ -29,8 +29,8 @@
 	retransmits uint32
 }
 
-// ownerCache caches the owners of flows in two generations. An entry that is used
-// moves to the current generation; the previous one is discarded as a whole.
+// ownerCache caches the owners of flows in two generations. An entry that is used is
+// copied to the current generation; the previous one is discarded as a whole.
 type ownerCache struct {
 	shards [shardCount]ownerShard
 }
--- a/core/steer/table.go
+++ b/core/steer/table.go
@@ -71,13 +71,13 @@
 			usedAddrs[b.Packets] = true
 		}
 	}
-	list := make([]member, 0, len(v.Members))
+	current := make([]member, 0, len(v.Members))
 	for i := range v.Members {
 		b := &v.Members[i]
 		if b.State == view.Gone && usedAddrs[b.Packets] {
 			continue
 		}
-		list = append(list, member{
+		current = append(current, member{
 			peer: flow.PeerOf(v, i), service: v.Service, id: b.ID, zone: b.Zone,
 			weight: b.Weight, slots: max(b.Slots, 1), acceptsNew: b.AcceptsNewFlows(), isGone: b.State == view.Gone,
 		})
@@ -87,17 +87,17 @@
 			next.members[id] = slices.DeleteFunc(slices.Clone(members), func(m member) bool { return usedAddrs[m.peer.Addr] })
 		}
 	}
-	next.members[v.Service] = append(list, removedMembers(now, t.members[v.Service], list, usedAddrs)...)
+	next.members[v.Service] = append(current, removedMembers(now, t.members[v.Service], current, usedAddrs)...)
 	return next
 }
 
-// removedMembers returns the previous members that list lacks and that may still own
+// removedMembers returns the previous members that current lacks and that may still own
 // flows.
-func removedMembers(now time.Duration, previous, list []member, usedAddrs map[netip.AddrPort]bool) []member {
+func removedMembers(now time.Duration, previous, current []member, usedAddrs map[netip.AddrPort]bool) []member {
 	var out []member
 	for _, m := range previous {
 		hasSameID := func(o member) bool { return o.id == m.id }
-		if usedAddrs[m.peer.Addr] || slices.ContainsFunc(list, hasSameID) {
+		if usedAddrs[m.peer.Addr] || slices.ContainsFunc(current, hasSameID) {
 			continue
 		}
 		if m.removedAt == 0 {
@@ -189,10 +189,10 @@
 // rankMembers returns the members of a service in the rendezvous order of key. A member
 // that joins or leaves does not change the order of the others.
 func (t *Table) rankMembers(key uint64, service view.ServiceID) []*member {
-	list := t.members[service]
-	byHash := make([]rankedMember, len(list))
-	for i := range list {
-		byHash[i] = t.rankMember(key, &list[i])
+	members := t.members[service]
+	byHash := make([]rankedMember, len(members))
+	for i := range members {
+		byHash[i] = t.rankMember(key, &members[i])
 	}
 	slices.SortFunc(byHash, rankedMember.compare)
 	return membersOf(byHash)
@@ -202,13 +202,13 @@
 // key: the first maxCandidates in rendezvous order that accept new flows. It takes one
 // pass and no sort of all members.
 func (t *Table) placementCandidates(key uint64, service view.ServiceID) []*member {
-	list := t.members[service]
+	members := t.members[service]
 	first := make([]rankedMember, 0, maxPlacementCandidates+1)
-	for i := range list {
-		if !list[i].acceptsNew {
+	for i := range members {
+		if !members[i].acceptsNew {
 			continue
 		}
-		r := t.rankMember(key, &list[i])
+		r := t.rankMember(key, &members[i])
 		at, _ := slices.BinarySearchFunc(first, r, rankedMember.compare)
 		if at < maxPlacementCandidates {
 			first = slices.Insert(first, at, r)
@@ -254,10 +254,10 @@
 
 // findMember returns the member with a hash seed, or nil.
 func (t *Table) findMember(service view.ServiceID, seed uint64) *member {
-	list := t.members[service]
-	for i := range list {
-		if list[i].peer.Seed == seed {
-			return &list[i]
+	members := t.members[service]
+	for i := range members {
+		if members[i].peer.Seed == seed {
+			return &members[i]
 		}
 	}
 	return nil
