--- a/core/quorum/change.go
+++ b/core/quorum/change.go
@@ -12,10 +12,10 @@
 		return r.notLeader()
 	}
 	if term, _ := r.log.term(r.log.committed); term != r.term {
-		return ChangePending.New("term %d has no committed entry yet", r.term)
+		return ErrChangePending.New("term %d has no committed entry yet", r.term)
 	}
 	if r.log.configIndex() > r.log.committed {
-		return ChangePending.New("membership change at entry %d is not committed", r.log.configIndex())
+		return ErrChangePending.New("membership change at entry %d is not committed", r.log.configIndex())
 	}
 	next, err := r.log.membership().Apply(c)
 	if err != nil {
@@ -24,7 +24,7 @@
 	if err := r.checkSafe(c, next); err != nil {
 		return err
 	}
-	e := Entry{Kind: EntryChange, Change: &c, Origin: r.id, Number: number}
+	e := Entry{Kind: EntryChange, Change: &c, Proposer: r.id, ProposalID: number}
 	if err := r.accepts(e); err != nil {
 		return err
 	}
@@ -35,15 +35,15 @@
 // checkSafe refuses a change that would leave the cluster without a quorum of
 // live voters.
 func (r *Replica) checkSafe(c ConfChange, next Membership) error {
-	if c.Op == Promote {
+	if c.Op == PromoteLearner {
 		p := r.find(c.Member.ID)
-		if p == nil || !r.heardLately(p.ID) || p.State != Replicate || p.Match+maxPromoteLag < r.log.lastIndex() {
-			return NotCaughtUp.New("learner %s does not hold the log up to entry %d", c.Member.ID, r.log.lastIndex())
+		if p == nil || !r.heardLately(p.ID) || p.State != StateReplicate || p.Match+maxPromoteLag < r.log.lastIndex() {
+			return ErrNotCaughtUp.New("learner %s does not hold the log up to entry %d", c.Member.ID, r.log.lastIndex())
 		}
 	}
 	if c.Op != AddLearner && !next.hasQuorum(r.heardLately) {
-		return UnsafeChange.New("%s of replica %s would leave %d voters without a live quorum",
-			c.Op, c.Member.ID, next.Voters())
+		return ErrUnsafeChange.New("%s of replica %s would leave %d voters without a live quorum",
+			c.Op, c.Member.ID, next.VoterCount())
 	}
 	return nil
 }
@@ -57,7 +57,7 @@
 		}
 		p := r.find(member.ID)
 		if p == nil {
-			p = &Progress{ID: member.ID, Next: r.log.lastIndex() + 1, Active: true}
+			p = &Progress{ID: member.ID, Next: r.log.lastIndex() + 1, RecentlyActive: true}
 		}
 		next = append(next, p)
 	}
--- a/core/quorum/durable_test.go
+++ b/core/quorum/durable_test.go
@@ -20,7 +20,7 @@
 	for leader.role != Leader {
 		rd := leader.Ready()
 		leader.Advance(rd)
-		is.True(!rd.Empty())
+		is.True(!rd.IsEmpty())
 		deliver(Message{Type: MsgPreVoteResp, From: 2, Term: leader.term + 1})
 		deliver(Message{Type: MsgVoteResp, From: 2, Term: leader.term})
 	}
--- a/core/quorum/election.go
+++ b/core/quorum/election.go
@@ -52,7 +52,7 @@
 	r.leader = 0
 	r.votes = map[ReplicaID]bool{r.id: true}
 	request := Message{
-		Type: MsgPreVote, Term: r.term + 1, Transfer: transfer,
+		Type: MsgPreVote, Term: r.term + 1, LeadershipTransfer: transfer,
 		Index: r.log.lastIndex(), LogTerm: r.log.lastTerm(),
 	}
 	if role == Candidate {
@@ -64,7 +64,7 @@
 		return
 	}
 	for _, member := range r.log.membership().Members {
-		if member.Learner || member.ID == r.id {
+		if member.IsLearner || member.ID == r.id {
 			continue
 		}
 		request.To = member.ID
@@ -185,8 +185,8 @@
 		return
 	}
 	for _, p := range r.progress {
-		p.wasActive = p.Active
-		p.Active = false
+		p.wasActive = p.RecentlyActive
+		p.RecentlyActive = false
 	}
 }
 
@@ -195,7 +195,7 @@
 		return true
 	}
 	p := r.find(id)
-	return p != nil && p.Active
+	return p != nil && p.RecentlyActive
 }
 
 // heardLately is true for up to two windows of the quorum check, so it does
@@ -216,10 +216,10 @@
 	}
 	p := r.find(to)
 	if p == nil || !r.log.membership().IsVoter(to) {
-		return InvalidChange.New("replica %s is no voter", to)
+		return ErrInvalidChange.New("replica %s is no voter", to)
 	}
 	if !r.heardLately(to) {
-		return NotCaughtUp.New("replica %s was not heard lately", to)
+		return ErrNotCaughtUp.New("replica %s was not heard lately", to)
 	}
 	r.transfer = to
 	r.electionElapsed = 0
@@ -241,5 +241,5 @@
 }
 
 func (r *Replica) notLeader() error {
-	return NotLeader.New("replica %s is %s in term %d; the leader is %s", r.id, r.role, r.term, r.leader)
+	return ErrNotLeader.New("replica %s is %s in term %d; the leader is %s", r.id, r.role, r.term, r.leader)
 }
--- a/core/quorum/example_test.go
+++ b/core/quorum/example_test.go
@@ -26,11 +26,11 @@
 	}
 	for {
 		ready := replica.Ready()
-		if ready.Empty() {
+		if ready.IsEmpty() {
 			break
 		}
 		// Save ready.HardState and ready.Entries, then send ready.Messages.
-		for _, entry := range ready.Committed {
+		for _, entry := range ready.CommittedEntries {
 			if entry.Kind == quorum.EntryCommand {
 				fmt.Printf("entry %d of term %d: %s\n", entry.Index, entry.Term, entry.Data)
 			}
--- a/core/quorum/log.go
+++ b/core/quorum/log.go
@@ -26,12 +26,12 @@
 func newEntryLog(snapshot Snapshot, entries []Entry) (*entryLog, error) {
 	l := &entryLog{}
 	l.reset(snapshot)
-	if !LogContinues(entries, snapshot) {
+	if !LogMatchesSnapshot(entries, snapshot) {
 		return l, nil
 	}
 	first := entries[0]
 	if first.Index == 0 || first.Index > snapshot.Index+1 {
-		return nil, BadState.New("log starts at entry %d, after snapshot %d", first.Index, snapshot.Index)
+		return nil, ErrInvalidState.New("log starts at entry %d, after snapshot %d", first.Index, snapshot.Index)
 	}
 	if first.Index <= snapshot.Index {
 		// The term before the first entry is unknown; drop that entry and
@@ -41,10 +41,10 @@
 	}
 	for i := range entries {
 		if want := l.lastIndex() + 1; entries[i].Index != want {
-			return nil, BadState.New("log has entry %d where %d belongs", entries[i].Index, want)
+			return nil, ErrInvalidState.New("log has entry %d where %d belongs", entries[i].Index, want)
 		}
 		if entries[i].Term < l.lastTerm() {
-			return nil, BadState.New("term falls from %d to %d at entry %d", l.lastTerm(), entries[i].Term, entries[i].Index)
+			return nil, ErrInvalidState.New("term falls from %d to %d at entry %d", l.lastTerm(), entries[i].Term, entries[i].Index)
 		}
 		l.push(entries[i])
 	}
@@ -52,9 +52,9 @@
 	return l, nil
 }
 
-// LogContinues reports whether entries reach snapshot and agree with it. If
+// LogMatchesSnapshot reports whether entries reach snapshot and agree with it. If
 // not, the snapshot came from a leader and replaces them (paper, section 7).
-func LogContinues(entries []Entry, snapshot Snapshot) bool {
+func LogMatchesSnapshot(entries []Entry, snapshot Snapshot) bool {
 	if len(entries) == 0 || entries[len(entries)-1].Index < snapshot.Index {
 		return false
 	}
--- a/core/quorum/membership.go
+++ b/core/quorum/membership.go
@@ -13,8 +13,8 @@
 	Name string `cbor:"2,keyasint,omitempty"`
 	// Address is opaque to this package; transports dial it.
 	Address string `cbor:"3,keyasint,omitempty"`
-	// Learner receives the log but is in no quorum (thesis, 4.2.1).
-	Learner bool `cbor:"4,keyasint,omitempty"`
+	// IsLearner receives the log but is in no quorum (thesis, 4.2.1).
+	IsLearner bool `cbor:"4,keyasint,omitempty"`
 }
 
 // Membership is the replicas of a cluster, sorted by ID.
@@ -41,22 +41,22 @@
 // IsVoter reports whether id counts in quorums.
 func (m Membership) IsVoter(id ReplicaID) bool {
 	member, ok := m.Find(id)
-	return ok && !member.Learner
+	return ok && !member.IsLearner
 }
 
-// Voters returns the number of members that count in quorums.
-func (m Membership) Voters() int {
+// VoterCount returns the number of members that count in quorums.
+func (m Membership) VoterCount() int {
 	n := 0
 	for i := range m.Members {
-		if !m.Members[i].Learner {
+		if !m.Members[i].IsLearner {
 			n++
 		}
 	}
 	return n
 }
 
-// Quorum returns the smallest majority of the voters.
-func (m Membership) Quorum() int { return m.Voters()/2 + 1 }
+// QuorumSize returns the smallest majority of the voters.
+func (m Membership) QuorumSize() int { return m.VoterCount()/2 + 1 }
 
 func (m Membership) search(id ReplicaID) int {
 	return slices.IndexFunc(m.Members, func(o Member) bool { return o.ID == id })
@@ -66,18 +66,18 @@
 func (m Membership) hasQuorum(agrees func(ReplicaID) bool) bool {
 	n := 0
 	for i := range m.Members {
-		if !m.Members[i].Learner && agrees(m.Members[i].ID) {
+		if !m.Members[i].IsLearner && agrees(m.Members[i].ID) {
 			n++
 		}
 	}
-	return n >= m.Quorum()
+	return n >= m.QuorumSize()
 }
 
 // quorumIndex returns the greatest value that a majority of voters reached.
 func (m Membership) quorumIndex(reached func(ReplicaID) uint64) uint64 {
 	var values []uint64
 	for i := range m.Members {
-		if !m.Members[i].Learner {
+		if !m.Members[i].IsLearner {
 			values = append(values, reached(m.Members[i].ID))
 		}
 	}
@@ -85,7 +85,7 @@
 		return 0
 	}
 	slices.Sort(values)
-	return values[len(values)-m.Quorum()]
+	return values[len(values)-m.QuorumSize()]
 }
 
 // Bootstrap returns the state to save on the first replicas of a new cluster.
@@ -103,9 +103,9 @@
 // The membership changes. Each adds or removes at most one voter, so that any
 // majority before overlaps any majority after (thesis, 4.1).
 const (
-	AddLearner   ChangeOp = iota + 1 // a new replica that only receives
-	Promote                          // a caught-up learner becomes a voter
-	RemoveMember                     // a learner or voter leaves for good
+	AddLearner     ChangeOp = iota + 1 // a new replica that only receives
+	PromoteLearner                     // a caught-up learner becomes a voter
+	RemoveMember                       // a learner or voter leaves for good
 )
 
 var changeNames = [...]string{"", "add_learner", "promote", "remove"}
@@ -130,41 +130,41 @@
 	switch c.Op {
 	case AddLearner:
 		return m.add(i, c.Member)
-	case Promote:
+	case PromoteLearner:
 		return m.promote(i, c.Member.ID)
 	case RemoveMember:
 		return m.remove(i, c.Member.ID)
 	default:
-		return m, InvalidChange.New("membership change %s does not exist", c.Op)
+		return m, ErrInvalidChange.New("membership change %s does not exist", c.Op)
 	}
 }
 
 func (m Membership) add(i int, member Member) (Membership, error) {
 	if i >= 0 {
-		return m, InvalidChange.New("replica %s is a member already", member.ID)
+		return m, ErrInvalidChange.New("replica %s is a member already", member.ID)
 	}
 	if member.ID == 0 {
-		return m, InvalidChange.New("replica ID is zero")
+		return m, ErrInvalidChange.New("replica ID is zero")
 	}
-	member.Learner = true
+	member.IsLearner = true
 	return NewMembership(append(slices.Clone(m.Members), member)...), nil
 }
 
 func (m Membership) promote(i int, id ReplicaID) (Membership, error) {
-	if i < 0 || !m.Members[i].Learner {
-		return m, InvalidChange.New("replica %s is no learner", id)
+	if i < 0 || !m.Members[i].IsLearner {
+		return m, ErrInvalidChange.New("replica %s is no learner", id)
 	}
 	members := slices.Clone(m.Members)
-	members[i].Learner = false
+	members[i].IsLearner = false
 	return Membership{Members: members}, nil
 }
 
 func (m Membership) remove(i int, id ReplicaID) (Membership, error) {
 	if i < 0 {
-		return m, InvalidChange.New("replica %s is no member", id)
+		return m, ErrInvalidChange.New("replica %s is no member", id)
 	}
-	if !m.Members[i].Learner && m.Voters() == 1 {
-		return m, InvalidChange.New("replica %s is the last voter", id)
+	if !m.Members[i].IsLearner && m.VoterCount() == 1 {
+		return m, ErrInvalidChange.New("replica %s is the last voter", id)
 	}
 	return Membership{Members: slices.Delete(slices.Clone(m.Members), i, i+1)}, nil
 }
--- a/core/quorum/message.go
+++ b/core/quorum/message.go
@@ -35,10 +35,10 @@
 	Data []byte `cbor:"4,keyasint,omitempty"`
 	// Change is set on an EntryChange.
 	Change *ConfChange `cbor:"5,keyasint,omitempty"`
-	// Origin and Number name the proposal, so that the replica which took it
+	// Proposer and Number name the proposal, so that the replica which took it
 	// recognises its own entry when it applies it.
-	Origin ReplicaID `cbor:"6,keyasint,omitempty"`
-	Number uint64    `cbor:"7,keyasint,omitempty"`
+	Proposer   ReplicaID `cbor:"6,keyasint,omitempty"`
+	ProposalID uint64    `cbor:"7,keyasint,omitempty"`
 }
 
 // size returns the approximate encoded size of e in bytes.
@@ -119,13 +119,13 @@
 	Commit  uint64  `cbor:"8,keyasint,omitempty"`
 	Entries []Entry `cbor:"9,keyasint,omitempty"`
 	Reject  bool    `cbor:"10,keyasint,omitempty"`
-	// Hint and HintTerm are where a rejecting follower's log may still match.
-	Hint     uint64 `cbor:"11,keyasint,omitempty"`
-	HintTerm uint64 `cbor:"12,keyasint,omitempty"`
+	// RejectHint and HintTerm are where a rejecting follower's log may still match.
+	RejectHint     uint64 `cbor:"11,keyasint,omitempty"`
+	RejectHintTerm uint64 `cbor:"12,keyasint,omitempty"`
 	// Context ties heartbeats and reads to their answers.
 	Context uint64 `cbor:"13,keyasint,omitempty"`
-	// Transfer marks a vote request made at the leader's own wish, which
+	// LeadershipTransfer marks a vote request made at the leader's own wish, which
 	// replicas grant although they hear from that leader (thesis, 4.2.3).
-	Transfer bool      `cbor:"14,keyasint,omitempty"`
-	Snapshot *Snapshot `cbor:"15,keyasint,omitempty"`
+	LeadershipTransfer bool      `cbor:"14,keyasint,omitempty"`
+	Snapshot           *Snapshot `cbor:"15,keyasint,omitempty"`
 }
--- a/core/quorum/progress.go
+++ b/core/quorum/progress.go
@@ -7,12 +7,12 @@
 
 // The states of a replica's progress.
 const (
-	// Probe sends one append at a time to find where the logs match.
-	Probe ProgressState = iota
-	// Replicate sends appends ahead of their answers (thesis, 10.2.1).
-	Replicate
-	// Snapshotting waits until the replica has installed a snapshot.
-	Snapshotting
+	// StateProbe sends one append at a time to find where the logs match.
+	StateProbe ProgressState = iota
+	// StateReplicate sends appends ahead of their answers (thesis, 10.2.1).
+	StateReplicate
+	// StateSnapshot waits until the replica has installed a snapshot.
+	StateSnapshot
 )
 
 var progressNames = [...]string{"probe", "replicate", "snapshot"}
@@ -32,9 +32,9 @@
 	Match uint64 // last entry known to be on the replica's disk
 	Next  uint64 // next entry to send
 	State ProgressState
-	// Active is set by any message from the replica and cleared by each
+	// RecentlyActive is set by any message from the replica and cleared by each
 	// check of the quorum.
-	Active bool
+	RecentlyActive bool
 
 	wasActive bool     // Active as of the last check of the quorum
 	probeSent bool     // an unanswered probe is out
@@ -47,14 +47,14 @@
 }
 
 func (p *Progress) becomeProbe() {
-	p.State = Probe
+	p.State = StateProbe
 	p.Next = p.Match + 1
 	p.probeSent = false
 	p.inflight = p.inflight[:0]
 }
 
 func (p *Progress) becomeReplicate() {
-	p.State = Replicate
+	p.State = StateReplicate
 	p.Next = p.Match + 1
 	p.inflight = p.inflight[:0]
 	p.snapshotTries = 0
@@ -63,7 +63,7 @@
 // becomeSnapshot backs off exponentially, since a snapshot may be large and
 // the link slow.
 func (p *Progress) becomeSnapshot(index uint64, waitTicks int) {
-	p.State = Snapshotting
+	p.State = StateSnapshot
 	p.snapshotIndex = index
 	p.snapshotWait = waitTicks << min(p.snapshotTries, maxSnapshotBackoff)
 	p.snapshotTries++
@@ -90,9 +90,9 @@
 // paused reports whether nothing may be sent before the replica answers.
 func (p *Progress) paused(window int) bool {
 	switch p.State {
-	case Probe:
+	case StateProbe:
 		return p.probeSent
-	case Replicate:
+	case StateReplicate:
 		return len(p.inflight) >= window
 	default:
 		return true
--- a/core/quorum/ready.go
+++ b/core/quorum/ready.go
@@ -11,9 +11,9 @@
 type Ready struct {
 	// SoftState is set when it changed.
 	SoftState *SoftState
-	// EarlyMessages may be sent before the rest is saved: a leader's appends
+	// ImmediateMessages may be sent before the rest is saved: a leader's appends
 	// overlap with its own write to disk (thesis, 10.2.1).
-	EarlyMessages []Message
+	ImmediateMessages []Message
 	// Snapshot is set when a leader's snapshot replaces the log: save it,
 	// drop all entries and restore the state machine from it.
 	Snapshot *Snapshot
@@ -26,17 +26,17 @@
 	MustSync bool
 	// Messages are to be sent once all of the above is on disk.
 	Messages []Message
-	// Committed are to be applied in order.
-	Committed []Entry
+	// CommittedEntries are to be applied in order.
+	CommittedEntries []Entry
 	// ReadStates answer ReadIndex.
 	ReadStates []ReadState
 }
 
-// Empty reports whether there is nothing to do.
-func (rd *Ready) Empty() bool {
+// IsEmpty reports whether there is nothing to do.
+func (rd *Ready) IsEmpty() bool {
 	return rd.SoftState == nil && rd.HardState == nil && rd.Snapshot == nil &&
-		len(rd.EarlyMessages) == 0 && len(rd.Entries) == 0 && len(rd.Messages) == 0 &&
-		len(rd.Committed) == 0 && len(rd.ReadStates) == 0
+		len(rd.ImmediateMessages) == 0 && len(rd.Entries) == 0 && len(rd.Messages) == 0 &&
+		len(rd.CommittedEntries) == 0 && len(rd.ReadStates) == 0
 }
 
 // Ready returns what is to be done now. Call Advance when it is done.
@@ -45,10 +45,10 @@
 		r.flush()
 	}
 	rd := Ready{
-		Snapshot:   r.newSnapshot,
-		Entries:    r.log.between(r.log.stable, r.log.lastIndex()),
-		Committed:  r.log.between(r.log.applied, r.log.committed),
-		ReadStates: r.readStates,
+		Snapshot:         r.newSnapshot,
+		Entries:          r.log.between(r.log.stable, r.log.lastIndex()),
+		CommittedEntries: r.log.between(r.log.applied, r.log.committed),
+		ReadStates:       r.readStates,
 	}
 	if hard := r.hardState(); hard != r.saved {
 		rd.HardState = &hard
@@ -58,7 +58,7 @@
 	if soft := r.softState(); soft != r.savedSoft {
 		rd.SoftState = &soft
 	}
-	rd.EarlyMessages, rd.Messages = r.splitMessages()
+	rd.ImmediateMessages, rd.Messages = r.splitMessages()
 	r.messages = nil
 	r.readStates = nil
 	return rd
@@ -104,8 +104,8 @@
 	if n := len(rd.Entries); n > 0 {
 		r.log.stable = rd.Entries[n-1].Index
 	}
-	if n := len(rd.Committed); n > 0 {
-		r.log.applied = rd.Committed[n-1].Index
+	if n := len(rd.CommittedEntries); n > 0 {
+		r.log.applied = rd.CommittedEntries[n-1].Index
 	}
 	if r.role == Leader {
 		r.advanceCommit()
@@ -118,19 +118,19 @@
 
 // Status is a replica's state for operators.
 type Status struct {
-	ID         ReplicaID
-	Cluster    ClusterID
-	Role       Role
-	Leader     ReplicaID
-	Term       uint64
-	Last       uint64 // last entry of the log
-	Committed  uint64
-	Applied    uint64
-	Snapshot   uint64 // last entry in the latest snapshot
-	Membership Membership
-	// First is the membership of the latest snapshot.
-	First    Membership
-	Progress []Progress // leader only
+	ID            ReplicaID
+	Cluster       ClusterID
+	Role          Role
+	Leader        ReplicaID
+	Term          uint64
+	LastIndex     uint64 // last entry of the log
+	CommitIndex   uint64
+	AppliedIndex  uint64
+	SnapshotIndex uint64 // last entry in the latest snapshot
+	Membership    Membership
+	// SnapshotMembership is the membership of the latest snapshot.
+	SnapshotMembership Membership
+	Progress           []Progress // leader only
 }
 
 // Membership returns the membership in force.
@@ -140,9 +140,9 @@
 func (r *Replica) Status() Status {
 	s := Status{
 		ID: r.id, Cluster: r.cluster, Role: r.role, Leader: r.leader, Term: r.term,
-		Last: r.log.lastIndex(), Committed: r.log.committed, Applied: r.log.applied,
-		Snapshot: r.log.snapshot.Index, Membership: r.log.membership(),
-		First: r.log.snapshot.Membership,
+		LastIndex: r.log.lastIndex(), CommitIndex: r.log.committed, AppliedIndex: r.log.applied,
+		SnapshotIndex: r.log.snapshot.Index, Membership: r.log.membership(),
+		SnapshotMembership: r.log.snapshot.Membership,
 	}
 	for _, p := range r.progress {
 		s.Progress = append(s.Progress, *p)
--- a/core/quorum/replica.go
+++ b/core/quorum/replica.go
@@ -102,13 +102,13 @@
 		return nil, err
 	}
 	if len(c.Snapshot.Membership.Members) > 0 && c.Snapshot.Index == 0 {
-		return nil, BadState.New("snapshot with a membership is at entry 0")
+		return nil, ErrInvalidState.New("snapshot with a membership is at entry 0")
 	}
 	if c.HardState.Commit > log.lastIndex() {
-		return nil, BadState.New("entry %d is committed and the log ends at %d", c.HardState.Commit, log.lastIndex())
+		return nil, ErrInvalidState.New("entry %d is committed and the log ends at %d", c.HardState.Commit, log.lastIndex())
 	}
 	if c.HardState.Term < log.lastTerm() {
-		return nil, BadState.New("term is %d and the log has term %d", c.HardState.Term, log.lastTerm())
+		return nil, ErrInvalidState.New("term is %d and the log has term %d", c.HardState.Term, log.lastTerm())
 	}
 	log.committed = max(log.committed, c.HardState.Commit)
 	r := &Replica{
@@ -141,7 +141,7 @@
 		return err
 	}
 	if p := r.find(m.From); p != nil {
-		p.Active = true
+		p.RecentlyActive = true
 	}
 	switch {
 	case m.Type == MsgPropose:
@@ -156,7 +156,7 @@
 		return nil
 	}
 	if m.Type == MsgHeartbeat && m.Commit > r.log.lastIndex() {
-		return RolledBack.New("replica %s acknowledged entry %d and its log ends at %d", r.id, m.Commit, r.log.lastIndex())
+		return ErrLogRolledBack.New("replica %s acknowledged entry %d and its log ends at %d", r.id, m.Commit, r.log.lastIndex())
 	}
 	r.dispatch(m)
 	return nil
@@ -166,13 +166,13 @@
 // first leader that addresses it.
 func (r *Replica) accept(m Message) error {
 	if m.To != r.id {
-		return NotAddressed.New("%s message for replica %s reached %s", m.Type, m.To, r.id)
+		return ErrWrongRecipient.New("%s message for replica %s reached %s", m.Type, m.To, r.id)
 	}
 	if r.cluster == 0 && m.Cluster != 0 && m.Type.fromLeader() {
 		r.cluster = m.Cluster
 	}
 	if m.Cluster != r.cluster {
-		return ClusterMismatch.New("%s message of cluster %s reached cluster %s", m.Type, m.Cluster, r.cluster)
+		return ErrClusterMismatch.New("%s message of cluster %s reached cluster %s", m.Type, m.Cluster, r.cluster)
 	}
 	return nil
 }
@@ -181,7 +181,7 @@
 func (r *Replica) enterTerm(m Message) bool {
 	switch m.Type {
 	case MsgPreVote, MsgVote:
-		if r.hearsLeader() && !m.Transfer {
+		if r.hearsLeader() && !m.LeadershipTransfer {
 			return false // thesis, 4.2.3: a live leader is not disturbed
 		}
 		if m.Type == MsgPreVote {
--- a/core/quorum/replication.go
+++ b/core/quorum/replication.go
@@ -5,7 +5,7 @@
 // carries this replica's ID and number. No error means no more than that it
 // was sent; it may be lost, or, where the transport duplicates, apply twice.
 func (r *Replica) Propose(number uint64, data []byte) error {
-	e := Entry{Kind: EntryCommand, Data: data, Origin: r.id, Number: number}
+	e := Entry{Kind: EntryCommand, Data: data, Proposer: r.id, ProposalID: number}
 	if r.role == Leader {
 		return r.accepts(e)
 	}
@@ -33,7 +33,7 @@
 
 func (r *Replica) accepts(e Entry) error {
 	if r.transfer != 0 {
-		return Transferring.New("leadership moves to replica %s", r.transfer)
+		return ErrLeadershipTransfer.New("leadership moves to replica %s", r.transfer)
 	}
 	r.propose(e)
 	return nil
@@ -58,7 +58,7 @@
 
 // fill sends entries until the window is full.
 func (r *Replica) fill(p *Progress) {
-	for p.State == Replicate && p.Next <= r.log.lastIndex() && !p.paused(r.config.MaxInflight) {
+	for p.State == StateReplicate && p.Next <= r.log.lastIndex() && !p.paused(r.config.MaxInflight) {
 		r.sendAppend(p, false)
 	}
 }
@@ -82,7 +82,7 @@
 		Type: MsgAppend, To: p.ID, Index: p.Next - 1, LogTerm: term,
 		Commit: r.log.committed, Entries: entries,
 	})
-	if p.State == Probe {
+	if p.State == StateProbe {
 		p.probeSent = true
 		return
 	}
@@ -107,7 +107,7 @@
 	if !r.log.matches(m.Index, m.LogTerm) {
 		answer.Reject = true
 		answer.Index = m.Index
-		answer.Hint, answer.HintTerm = r.log.lastAtMost(m.Index, m.LogTerm)
+		answer.RejectHint, answer.RejectHintTerm = r.log.lastAtMost(m.Index, m.LogTerm)
 		r.send(answer)
 		return
 	}
@@ -142,7 +142,7 @@
 		return
 	}
 	news := p.acknowledge(m.Index)
-	if p.State == Probe || p.State == Snapshotting && p.Match >= p.snapshotIndex {
+	if p.State == StateProbe || p.State == StateSnapshot && p.Match >= p.snapshotIndex {
 		p.becomeReplicate()
 	}
 	if !news {
@@ -159,12 +159,12 @@
 // stepBack moves p to where the logs may match (paper, section 5.3: the
 // follower's hint skips a whole term per round).
 func (r *Replica) stepBack(p *Progress, m Message) {
-	stale := m.Index <= p.Match || p.State == Snapshotting ||
-		p.State == Probe && m.Index != p.Next-1
+	stale := m.Index <= p.Match || p.State == StateSnapshot ||
+		p.State == StateProbe && m.Index != p.Next-1
 	if stale {
 		return
 	}
-	next, _ := r.log.lastAtMost(m.Hint, m.HintTerm)
+	next, _ := r.log.lastAtMost(m.RejectHint, m.RejectHintTerm)
 	p.becomeProbe()
 	p.Next = max(min(next, m.Index-1), p.Match) + 1
 	r.sendAppend(p, true)
@@ -226,7 +226,7 @@
 		return
 	}
 	p.probeSent = false
-	if p.State == Replicate && p.paused(r.config.MaxInflight) {
+	if p.State == StateReplicate && p.paused(r.config.MaxInflight) {
 		// The window is full of appends whose answers were lost.
 		p.inflight = p.inflight[1:]
 	}
--- a/core/quorum/sim_test.go
+++ b/core/quorum/sim_test.go
@@ -144,7 +144,7 @@
 func (s *sim) pump(n *node, crashAt int) {
 	for n.r != nil {
 		rd := n.r.Ready()
-		if rd.Empty() {
+		if rd.IsEmpty() {
 			return
 		}
 		if rd.SoftState != nil && rd.SoftState.Role == Leader {
@@ -153,7 +153,7 @@
 			}
 			s.leaders[rd.SoftState.Term] = n.id
 		}
-		s.send(rd.EarlyMessages)
+		s.send(rd.ImmediateMessages)
 		if crashAt == 1 {
 			s.crash(n)
 			return
@@ -167,7 +167,7 @@
 			return
 		}
 		s.send(rd.Messages)
-		for _, e := range rd.Committed {
+		for _, e := range rd.CommittedEntries {
 			s.apply(n, e)
 		}
 		n.r.Advance(rd)
@@ -180,8 +180,8 @@
 		s.failf("replica %s applied %d after %d", n.id, e.Index, n.applied)
 	}
 	n.applied = e.Index
-	n.digest = n.digest*1099511628211 + e.Term*31 + e.Number + 1
-	if old, ok := s.log[e.Index]; ok && (old.Term != e.Term || old.Number != e.Number) {
+	n.digest = n.digest*1099511628211 + e.Term*31 + e.ProposalID + 1
+	if old, ok := s.log[e.Index]; ok && (old.Term != e.Term || old.ProposalID != e.ProposalID) {
 		s.failf("entry %d is %v on replica %s and was %v", e.Index, e, n.id, old)
 	}
 	if old, ok := s.digests[e.Index]; ok && old != n.digest {
@@ -191,10 +191,10 @@
 	if e.Kind == EntryChange && e.Change.Op == RemoveMember && e.Change.Member.ID == s.lost {
 		s.lost = 0
 	}
-	if floor, ok := n.started[e.Number]; ok && e.Origin == n.id {
-		delete(n.started, e.Number)
+	if floor, ok := n.started[e.ProposalID]; ok && e.Proposer == n.id {
+		delete(n.started, e.ProposalID)
 		s.finish("command", floor, e.Index)
-		s.acked[e.Number] = e.Index
+		s.acked[e.ProposalID] = e.Index
 	}
 }
 
@@ -250,7 +250,7 @@
 	for _, p := range due {
 		for _, n := range s.nodes {
 			if n.id == p.m.To && n.r != nil {
-				if err := n.r.Step(p.m); errorx.IsOfType(err, RolledBack) {
+				if err := n.r.Step(p.m); errorx.IsOfType(err, ErrLogRolledBack) {
 					s.failf("%v", err)
 				}
 			}
@@ -329,8 +329,8 @@
 			_ = n.r.ProposeChange(0, ConfChange{Op: AddLearner, Member: Member{ID: other.id}})
 			return
 		}
-		if member.Learner {
-			_ = n.r.ProposeChange(0, ConfChange{Op: Promote, Member: member})
+		if member.IsLearner {
+			_ = n.r.ProposeChange(0, ConfChange{Op: PromoteLearner, Member: member})
 			return
 		}
 	}
@@ -377,7 +377,7 @@
 		}
 	}
 	for number, index := range s.acked {
-		if s.log[index].Number != number {
+		if s.log[index].ProposalID != number {
 			s.failf("acknowledged command %d is not at entry %d", number, index)
 		}
 	}
--- a/core/quorum/snapshot.go
+++ b/core/quorum/snapshot.go
@@ -2,7 +2,7 @@
 
 // sendSnapshot sends the latest snapshot in place of entries that are gone.
 func (r *Replica) sendSnapshot(p *Progress) {
-	if !p.Active {
+	if !p.RecentlyActive {
 		p.becomeProbe()
 		p.probeSent = true // until it answers a heartbeat
 		return
@@ -15,7 +15,7 @@
 // tickSnapshots sends a snapshot again whose answer did not come.
 func (r *Replica) tickSnapshots() {
 	for _, p := range r.progress {
-		if p.State != Snapshotting {
+		if p.State != StateSnapshot {
 			continue
 		}
 		p.snapshotWait--
@@ -50,7 +50,7 @@
 func (r *Replica) Snapshot(index uint64, state []byte) (Snapshot, error) {
 	term, ok := r.log.term(index)
 	if !ok || index > r.log.applied || index < r.log.snapshot.Index {
-		return Snapshot{}, BadState.New("snapshot at entry %d: applied is %d, the last snapshot is at %d",
+		return Snapshot{}, ErrInvalidState.New("snapshot at entry %d: applied is %d, the last snapshot is at %d",
 			index, r.log.applied, r.log.snapshot.Index)
 	}
 	return Snapshot{Index: index, Term: term, Membership: r.log.membershipAt(index), Data: state}, nil
--- a/core/quorum/start_test.go
+++ b/core/quorum/start_test.go
@@ -61,7 +61,7 @@
 			var sent []Message
 			for _, id := range ids {
 				rd := replicas[id].Ready()
-				sent = append(append(sent, rd.EarlyMessages...), rd.Messages...)
+				sent = append(append(sent, rd.ImmediateMessages...), rd.Messages...)
 				replicas[id].Advance(rd)
 			}
 			for _, m := range sent {
@@ -118,7 +118,7 @@
 func sentTo(r *Replica, to ReplicaID) []Message {
 	rd := r.Ready()
 	r.Advance(rd)
-	return slices.DeleteFunc(slices.Concat(rd.EarlyMessages, rd.Messages), func(m Message) bool { return m.To != to })
+	return slices.DeleteFunc(slices.Concat(rd.ImmediateMessages, rd.Messages), func(m Message) bool { return m.To != to })
 }
 
 // exchange delivers what two replicas have sent until neither has anything to say.
@@ -157,7 +157,7 @@
 		is.NoErr(r.Step(Message{Type: MsgPreVote, From: 1, To: 3, Cluster: 1, Term: r.term + 1, Index: 1, LogTerm: 1}))
 		rd := r.Ready()
 		r.Advance(rd)
-		answers := slices.Concat(rd.EarlyMessages, rd.Messages)
+		answers := slices.Concat(rd.ImmediateMessages, rd.Messages)
 		return !answers[len(answers)-1].Reject
 	}
 	is.True(!ask())
--- a/core/quorum/traps_test.go
+++ b/core/quorum/traps_test.go
@@ -84,7 +84,7 @@
 	s.crash(n)
 	s.wipe(n)
 	vote := Message{Type: MsgVote, Cluster: simCluster, From: s.leader().id, To: old, Term: 99, Index: 99, LogTerm: 99}
-	is.True(errorx.IsOfType(n.r.Step(vote), NotAddressed))
+	is.True(errorx.IsOfType(n.r.Step(vote), ErrWrongRecipient))
 	s.run(100)
 	is.Equal(n.r.Status().Role, Follower)
 	is.Equal(n.r.Status().Term, uint64(0)) // never campaigned
@@ -93,11 +93,11 @@
 	learner := Member{ID: n.id}
 	is.NoErr(s.leader().r.ProposeChange(0, ConfChange{Op: AddLearner, Member: learner}))
 	s.run(30)
-	err := s.leader().r.ProposeChange(0, ConfChange{Op: Promote, Member: learner})
-	is.True(errorx.IsOfType(err, NotCaughtUp))
+	err := s.leader().r.ProposeChange(0, ConfChange{Op: PromoteLearner, Member: learner})
+	is.True(errorx.IsOfType(err, ErrNotCaughtUp))
 	s.blocked = map[[2]ReplicaID]bool{}
 	s.run(50)
-	is.NoErr(s.leader().r.ProposeChange(0, ConfChange{Op: Promote, Member: learner}))
+	is.NoErr(s.leader().r.ProposeChange(0, ConfChange{Op: PromoteLearner, Member: learner}))
 }
 
 func secondLossAfterRepair(is *is.I, s *sim) {
@@ -128,8 +128,8 @@
 	_, acked := s.acked[number]
 	is.True(!acked)
 	is.Equal(len(old.reads), 1) // still unanswered
-	is.True(errorx.IsOfType(old.r.Propose(0, nil), NotLeader))
-	is.True(errorx.IsOfType(old.r.ReadIndex(0), NotLeader))
+	is.True(errorx.IsOfType(old.r.Propose(0, nil), ErrNotLeader))
+	is.True(errorx.IsOfType(old.r.ReadIndex(0), ErrNotLeader))
 }
 
 func leaderFrozen(is *is.I, s *sim) {
@@ -175,16 +175,16 @@
 	r := s.leader().r
 	is.NoErr(r.ProposeChange(0, ConfChange{Op: AddLearner, Member: Member{ID: 50}}))
 	err := r.ProposeChange(0, ConfChange{Op: AddLearner, Member: Member{ID: 51}})
-	is.True(errorx.IsOfType(err, ChangePending))
+	is.True(errorx.IsOfType(err, ErrChangePending))
 	s.run(5)
 	for _, c := range []ConfChange{
 		{Op: AddLearner, Member: Member{ID: 50}},
 		{Op: AddLearner},
-		{Op: Promote, Member: Member{ID: 1}},
+		{Op: PromoteLearner, Member: Member{ID: 1}},
 		{Op: RemoveMember, Member: Member{ID: 60}},
 		{Op: 9},
 	} {
-		is.True(errorx.IsOfType(r.ProposeChange(0, c), InvalidChange))
+		is.True(errorx.IsOfType(r.ProposeChange(0, c), ErrInvalidChange))
 	}
 	is.NoErr(r.ProposeChange(0, ConfChange{Op: RemoveMember, Member: Member{ID: 50}}))
 }
@@ -194,17 +194,17 @@
 	s.crash(dead)
 	s.run(40)
 	err := s.leader().r.ProposeChange(0, ConfChange{Op: RemoveMember, Member: Member{ID: live.id}})
-	is.True(errorx.IsOfType(err, UnsafeChange))
+	is.True(errorx.IsOfType(err, ErrUnsafeChange))
 	err = s.leader().r.TransferLeadership(dead.id)
-	is.True(errorx.IsOfType(err, NotCaughtUp))
+	is.True(errorx.IsOfType(err, ErrNotCaughtUp))
 }
 
 func transfer(is *is.I, s *sim) {
 	old, to := s.leader(), s.followers()[1]
-	is.True(errorx.IsOfType(old.r.TransferLeadership(77), InvalidChange))
+	is.True(errorx.IsOfType(old.r.TransferLeadership(77), ErrInvalidChange))
 	s.propose(old)
 	is.NoErr(old.r.TransferLeadership(to.id))
-	is.True(errorx.IsOfType(old.r.Propose(0, nil), Transferring))
+	is.True(errorx.IsOfType(old.r.Propose(0, nil), ErrLeadershipTransfer))
 	s.run(8)
 	is.Equal(s.leader().id, to.id)
 }
@@ -220,13 +220,13 @@
 
 func otherCluster(is *is.I, s *sim) {
 	m := Message{Type: MsgHeartbeat, Cluster: simCluster + 1, From: 2, To: 1, Term: 99}
-	is.True(errorx.IsOfType(s.nodes[0].r.Step(m), ClusterMismatch))
+	is.True(errorx.IsOfType(s.nodes[0].r.Step(m), ErrClusterMismatch))
 }
 
 func rolledBack(is *is.I, s *sim) {
 	n := s.followers()[0]
 	m := Message{Type: MsgHeartbeat, Cluster: simCluster, From: s.leader().id, To: n.id, Term: n.r.term, Commit: 99}
-	is.True(errorx.IsOfType(n.r.Step(m), RolledBack))
+	is.True(errorx.IsOfType(n.r.Step(m), ErrLogRolledBack))
 }
 
 // TestVoteIsSynced covers a vote in a term that is on disk already.
@@ -240,7 +240,7 @@
 	rd := r.Ready()
 	is.True(rd.MustSync)
 	is.Equal(rd.HardState.Vote, ReplicaID(2))
-	is.Equal(rd.EarlyMessages, nil)
+	is.Equal(rd.ImmediateMessages, nil)
 	is.Equal(rd.Messages[0].Type, MsgVoteResp)
 }
 
@@ -259,10 +259,10 @@
 	s.pump(n, 0)
 	ack := Message{Type: MsgAppendResp, Cluster: simCluster, From: 2, To: 1, Term: 3, Index: 2}
 	is.NoErr(n.r.Step(ack))
-	is.Equal(n.r.Status().Committed, uint64(1))
+	is.Equal(n.r.Status().CommitIndex, uint64(1))
 	ack.Index = 3
 	is.NoErr(n.r.Step(ack))
-	is.Equal(n.r.Status().Committed, uint64(3))
+	is.Equal(n.r.Status().CommitIndex, uint64(3))
 }
 
 // TestLiveLeaderIsNotDisturbed covers a vote request of a removed replica.
@@ -273,7 +273,7 @@
 	vote := Message{Type: MsgVote, Cluster: simCluster, From: 9, To: n.id, Term: term + 5, Index: 99, LogTerm: term + 5}
 	is.NoErr(n.r.Step(vote))
 	is.Equal(n.r.term, term)
-	vote.Transfer = true
+	vote.LeadershipTransfer = true
 	is.NoErr(n.r.Step(vote))
 	is.Equal(n.r.term, term+5)
 }
@@ -282,19 +282,19 @@
 // crash before the save would use the same term twice.
 func TestUnsavedTermSendsNothingEarly(t *testing.T) {
 	is := is.New(t)
-	hard, snapshot := Bootstrap(simCluster, Member{ID: 1}, Member{ID: 2, Learner: true})
+	hard, snapshot := Bootstrap(simCluster, Member{ID: 1}, Member{ID: 2, IsLearner: true})
 	r, err := New(Config{ID: 1, Rand: rand.New(rand.NewPCG(1, 1)), HardState: hard, Snapshot: snapshot})
 	is.NoErr(err)
 	for r.role != Leader {
 		r.Tick()
 	}
 	rd := r.Ready()
-	is.Equal(rd.EarlyMessages, nil)
+	is.Equal(rd.ImmediateMessages, nil)
 	is.Equal(len(rd.Messages), 2) // append and heartbeat
 	r.Advance(rd)
 	is.NoErr(r.Step(Message{Type: MsgAppendResp, Cluster: hard.Cluster, From: 2, To: 1, Term: 2, Index: 2}))
 	is.NoErr(r.Propose(1, nil))
-	is.True(len(r.Ready().EarlyMessages) > 0)
+	is.True(len(r.Ready().ImmediateMessages) > 0)
 }
 
 func TestNewRefusesContradictions(t *testing.T) {
@@ -321,7 +321,7 @@
 				ID: 1, Rand: rand.New(rand.NewPCG(1, 1)),
 				HardState: c.hard, Snapshot: first, Entries: c.entries,
 			})
-			is.Equal(errorx.IsOfType(err, BadState), c.bad)
+			is.Equal(errorx.IsOfType(err, ErrInvalidState), c.bad)
 		})
 	}
 }
--- a/core/roster/roster.go
+++ b/core/roster/roster.go
@@ -66,7 +66,7 @@
 // Absent returns the voters that are missed.
 func (k *Keeper) Absent(now time.Duration, s State) []quorum.Member {
 	return slices.DeleteFunc(slices.Clone(s.Members), func(m quorum.Member) bool {
-		return m.Learner || !k.absent(now, m.ID)
+		return m.IsLearner || !k.absent(now, m.ID)
 	})
 }
 
@@ -110,9 +110,9 @@
 		gone := k.superseded(now, members, m)
 		switch {
 		case m.ID == self:
-		case m.Learner && (gone || k.unheard(now, m.ID) >= k.options.ForgetAfter):
+		case m.IsLearner && (gone || k.unheard(now, m.ID) >= k.options.ForgetAfter):
 			out = append(out, m)
-		case !m.Learner && voters > k.options.Voters && (gone || k.absent(now, m.ID)):
+		case !m.IsLearner && voters > k.options.Voters && (gone || k.absent(now, m.ID)):
 			out = append(out, m)
 		}
 	}
@@ -130,7 +130,7 @@
 func (k *Keeper) promotable(now time.Duration, members []quorum.Member) (quorum.ConfChange, bool) {
 	lost := 0
 	for _, m := range members {
-		if !m.Learner && (k.absent(now, m.ID) || k.superseded(now, members, m)) {
+		if !m.IsLearner && (k.absent(now, m.ID) || k.superseded(now, members, m)) {
 			lost++
 		}
 	}
@@ -138,8 +138,8 @@
 		return quorum.ConfChange{}, false
 	}
 	for _, m := range members {
-		if m.Learner && !k.absent(now, m.ID) {
-			return quorum.ConfChange{Op: quorum.Promote, Member: m}, true
+		if m.IsLearner && !k.absent(now, m.ID) {
+			return quorum.ConfChange{Op: quorum.PromoteLearner, Member: m}, true
 		}
 	}
 	return quorum.ConfChange{}, false
@@ -148,7 +148,7 @@
 func count(members []quorum.Member) int {
 	n := 0
 	for _, m := range members {
-		if !m.Learner {
+		if !m.IsLearner {
 			n++
 		}
 	}
--- a/core/roster/roster_test.go
+++ b/core/roster/roster_test.go
@@ -10,7 +10,7 @@
 )
 
 func member(id quorum.ReplicaID, address string, learner bool) quorum.Member {
-	return quorum.Member{ID: id, Address: address, Learner: learner}
+	return quorum.Member{ID: id, Address: address, IsLearner: learner}
 }
 
 // group is a membership whose members are heard unless they are silent.
@@ -65,19 +65,19 @@
 			"a spare takes the place of a lost voter, which is removed last",
 			append([]quorum.Member{member(4, "d", true)}, three...),
 			[]quorum.ReplicaID{3},
-			[]step{{quorum.Promote, 4}, {quorum.RemoveMember, 3}},
+			[]step{{quorum.PromoteLearner, 4}, {quorum.RemoveMember, 3}},
 		},
 		{
 			"an emptied disk comes back at its address",
 			append([]quorum.Member{member(4, "c", true)}, three...),
 			[]quorum.ReplicaID{3},
-			[]step{{quorum.Promote, 4}, {quorum.RemoveMember, 3}},
+			[]step{{quorum.PromoteLearner, 4}, {quorum.RemoveMember, 3}},
 		},
 		{
 			"too few voters",
 			[]quorum.Member{member(1, "a", false), member(2, "b", true), member(3, "c", true)},
 			nil,
-			[]step{{quorum.Promote, 2}, {quorum.Promote, 3}},
+			[]step{{quorum.PromoteLearner, 2}, {quorum.PromoteLearner, 3}},
 		},
 		{
 			"a spare that is missed takes nobody's place",
--- a/internal/disk/files.go
+++ b/internal/disk/files.go
@@ -119,7 +119,7 @@
 		return Foreign.New("file %q is of cluster %s and the log of %s", name, h.Cluster, s.state.HardState.Cluster)
 	}
 	s.state.Snapshot = snapshot
-	if len(s.state.Entries) > 0 && !quorum.LogContinues(s.state.Entries, snapshot) {
+	if len(s.state.Entries) > 0 && !quorum.LogMatchesSnapshot(s.state.Entries, snapshot) {
 		// A crash came between the snapshot's rename and the new log's.
 		s.state.Entries = nil
 		return s.rewrite()
--- a/internal/disk/recover.go
+++ b/internal/disk/recover.go
@@ -12,7 +12,7 @@
 	if s.failed != nil {
 		return s.failed
 	}
-	self.ID, self.Learner = s.replica, false
+	self.ID, self.IsLearner = s.replica, false
 	snapshot := s.state.Snapshot
 	snapshot.Membership = quorum.NewMembership(self)
 	last := snapshot.Index
--- a/internal/disk/store_test.go
+++ b/internal/disk/store_test.go
@@ -383,6 +383,6 @@
 		r.Tick()
 	}
 	is.Equal(r.Status().Cluster, quorum.ClusterID(99))
-	is.Equal(r.Status().Committed, uint64(3))
+	is.Equal(r.Status().CommitIndex, uint64(3))
 	is.Equal(len(r.Status().Membership.Members), 1)
 }
--- a/internal/group/found.go
+++ b/internal/group/found.go
@@ -132,8 +132,8 @@
 	}
 	status := n.Status()
 	id.Cluster = status.Cluster
-	if status.Snapshot == firstSnapshot {
-		id.Founders = status.First
+	if status.SnapshotIndex == firstSnapshot {
+		id.Founders = status.SnapshotMembership
 	}
 	return id
 }
--- a/internal/group/join_test.go
+++ b/internal/group/join_test.go
@@ -53,6 +53,6 @@
 		}
 		members := n.Status().Membership
 		_, stays := members.Find(lost)
-		return members.IsVoter(again.self.ID) && !stays && members.Voters() == 3
+		return members.IsVoter(again.self.ID) && !stays && members.VoterCount() == 3
 	})
 }
--- a/internal/group/keep.go
+++ b/internal/group/keep.go
@@ -54,7 +54,7 @@
 func stateOf(s replica.Status) roster.State {
 	active := make(map[quorum.ReplicaID]bool, len(s.Progress))
 	for _, p := range s.Progress {
-		active[p.ID] = p.Active
+		active[p.ID] = p.RecentlyActive
 	}
 	return roster.State{
 		Self: s.ID, Members: s.Membership.Members,
@@ -67,7 +67,7 @@
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
 	var err error
-	if c.Op == quorum.Promote {
+	if c.Op == quorum.PromoteLearner {
 		err = n.Promote(ctx, c.Member.ID)
 	} else {
 		err = n.Remove(ctx, c.Member.ID)
@@ -79,7 +79,7 @@
 	switch {
 	case err == nil:
 		g.options.Log.Info("Changed the membership.", fields...)
-	case !errorx.IsOfType(err, quorum.NotCaughtUp):
+	case !errorx.IsOfType(err, quorum.ErrNotCaughtUp):
 		g.options.Log.Warn("Could not change the membership.", append(fields, zap.Error(err))...)
 	}
 }
--- a/internal/group/members.go
+++ b/internal/group/members.go
@@ -20,7 +20,7 @@
 	var out []admin.Replica
 	for _, m := range status.Membership.Members {
 		out = append(out, admin.Replica{
-			ID: m.ID.String(), Name: m.Name, Addr: m.Address, Voter: !m.Learner,
+			ID: m.ID.String(), Name: m.Name, Addr: m.Address, Voter: !m.IsLearner,
 			Leader: m.ID == status.Leader, Match: match(status, m.ID),
 		})
 	}
@@ -31,7 +31,7 @@
 // know of themselves only.
 func match(s replica.Status, id quorum.ReplicaID) uint64 {
 	if id == s.ID {
-		return s.Last
+		return s.LastIndex
 	}
 	for _, p := range s.Progress {
 		if p.ID == id {
@@ -119,7 +119,7 @@
 	}
 	s := n.Status()
 	d.Cluster, d.Role, d.Leader, d.Term = s.Cluster.String(), s.Role.String(), s.Leader.String(), s.Term
-	d.Last, d.Committed, d.Applied, d.Snapshot = s.Last, s.Committed, s.Applied, s.Snapshot
+	d.Last, d.Committed, d.Applied, d.Snapshot = s.LastIndex, s.CommitIndex, s.AppliedIndex, s.SnapshotIndex
 	d.Counters = s.Counters
 	if err := n.Err(); err != nil {
 		d.Error = err.Error()
--- a/internal/group/recover.go
+++ b/internal/group/recover.go
@@ -44,7 +44,7 @@
 		case <-n.Done():
 		}
 		err := n.Err()
-		if err == nil || errorx.IsOfType(err, quorum.RolledBack) || g.options.Folder == "" {
+		if err == nil || errorx.IsOfType(err, quorum.ErrLogRolledBack) || g.options.Folder == "" {
 			return
 		}
 		if !g.reopen(ctx) {
--- a/internal/replica/membership.go
+++ b/internal/replica/membership.go
@@ -88,7 +88,7 @@
 
 // Promote lets a learner that has caught up vote.
 func (n *Node) Promote(ctx context.Context, id quorum.ReplicaID) error {
-	return n.change(ctx, quorum.ConfChange{Op: quorum.Promote, Member: quorum.Member{ID: id}})
+	return n.change(ctx, quorum.ConfChange{Op: quorum.PromoteLearner, Member: quorum.Member{ID: id}})
 }
 
 // Remove removes a replica for good.
@@ -99,7 +99,7 @@
 func (n *Node) change(ctx context.Context, c quorum.ConfChange) error {
 	_, err := n.propose(ctx, func(number uint64) error {
 		err := n.core.ProposeChange(number, c)
-		if errorx.IsOfType(err, quorum.NotLeader) {
+		if errorx.IsOfType(err, quorum.ErrNotLeader) {
 			return NotLeader.Wrap(err, "cannot %s", c.Op)
 		}
 		return err
@@ -145,7 +145,7 @@
 	}
 	var best quorum.Progress
 	for _, p := range status.Progress {
-		if status.Membership.IsVoter(p.ID) && p.State == quorum.Replicate && p.Match >= best.Match {
+		if status.Membership.IsVoter(p.ID) && p.State == quorum.StateReplicate && p.Match >= best.Match {
 			best = p
 		}
 	}
@@ -163,7 +163,7 @@
 // what it acknowledged must not go on.
 func (n *Node) refused(m quorum.Message, err error) {
 	n.counters.Refused++
-	if errorx.IsOfType(err, quorum.RolledBack) {
+	if errorx.IsOfType(err, quorum.ErrLogRolledBack) {
 		n.broken = err
 		return
 	}
--- a/internal/replica/node.go
+++ b/internal/replica/node.go
@@ -87,7 +87,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if members := core.Membership(); members.Voters() == 1 {
+	if members := core.Membership(); members.VoterCount() == 1 {
 		core.Campaign() // nobody else could lead
 	}
 	n := &Node{
@@ -214,7 +214,7 @@
 			return n.broken
 		}
 		rd := n.core.Ready()
-		if rd.Empty() {
+		if rd.IsEmpty() {
 			return nil
 		}
 		if err := n.carryOut(rd); err != nil {
@@ -224,7 +224,7 @@
 }
 
 func (n *Node) carryOut(rd quorum.Ready) error {
-	n.send(rd.EarlyMessages)
+	n.send(rd.ImmediateMessages)
 	if err := n.options.Store.Save(rd); err != nil {
 		return err
 	}
@@ -234,8 +234,8 @@
 		}
 	}
 	n.send(rd.Messages)
-	for i := range rd.Committed {
-		n.apply(rd.Committed[i])
+	for i := range rd.CommittedEntries {
+		n.apply(rd.CommittedEntries[i])
 	}
 	n.core.Advance(rd)
 	for _, state := range rd.ReadStates {
@@ -272,8 +272,8 @@
 	}
 	n.applied = e.Index
 	n.counters.Applied++
-	if p := n.proposals[e.Number]; p != nil && e.Origin == n.options.Store.Replica() {
-		delete(n.proposals, e.Number)
+	if p := n.proposals[e.ProposalID]; p != nil && e.Proposer == n.options.Store.Replica() {
+		delete(n.proposals, e.ProposalID)
 		p.finish(result, nil)
 	}
 }
--- a/internal/replica/propose.go
+++ b/internal/replica/propose.go
@@ -72,7 +72,7 @@
 	case err == nil:
 		n.counters.Proposals++
 		n.proposals[n.number] = p
-	case isOneOf(err, quorum.NotLeader, quorum.Transferring):
+	case isOneOf(err, quorum.ErrNotLeader, quorum.ErrLeadershipTransfer):
 		n.waiting = append(n.waiting, p)
 	default:
 		p.finish(nil, err)
--- a/internal/replicalink/link_test.go
+++ b/internal/replicalink/link_test.go
@@ -99,7 +99,7 @@
 	is.True(bytes.Equal(got[0].Snapshot.Data, state))
 
 	// The receiver answers by the address that it learnt.
-	entry := quorum.Entry{Index: 3, Term: 2, Change: &quorum.ConfChange{Op: quorum.Promote, Member: quorum.Member{ID: 7}}}
+	entry := quorum.Entry{Index: 3, Term: 2, Change: &quorum.ConfChange{Op: quorum.PromoteLearner, Member: quorum.Member{ID: 7}}}
 	answer := quorum.Message{Type: quorum.MsgAppend, From: 2, To: 1, Entries: []quorum.Entry{entry}}
 	b.link.Send(quorum.Member{ID: 1}, []quorum.Message{answer})
 	is.Equal(a.receive(t), []quorum.Message{answer})
--- a/tools/capacity/measure_control.go
+++ b/tools/capacity/measure_control.go
@@ -63,13 +63,13 @@
 
 func (c *cluster) carryOut(r *quorum.Replica) bool {
 	rd := r.Ready()
-	if rd.Empty() {
+	if rd.IsEmpty() {
 		return false
 	}
 	if r == c.leader {
-		c.applied += len(rd.Committed)
+		c.applied += len(rd.CommittedEntries)
 	}
-	messages := append(append([]quorum.Message(nil), rd.EarlyMessages...), rd.Messages...)
+	messages := append(append([]quorum.Message(nil), rd.ImmediateMessages...), rd.Messages...)
 	r.Advance(rd)
 	for _, m := range messages {
 		b, err := cbor.Marshal(m)
