--- a/core/roster/roster_test.go
+++ b/core/roster/roster_test.go
@@ -20,15 +20,15 @@
 }
 
 func (g *group) state() State {
-	return State{Self: 1, Members: g.members, Active: func(id quorum.ReplicaID) bool { return !g.silent[id] }}
+	return State{Self: 1, Members: g.members, IsActive: func(id quorum.ReplicaID) bool { return !g.silent[id] }}
 }
 
 // settle makes the Keeper's changes until it wants none, and returns them.
-func (g *group) settle(t *testing.T, k *Keeper, from, to time.Duration) []quorum.ConfChange {
+func (g *group) settle(t *testing.T, k *Reconciler, from, to time.Duration) []quorum.ConfChange {
 	t.Helper()
 	var made []quorum.ConfChange
 	for now := from; now <= to; now += 250 * time.Millisecond {
-		change, ok := k.Next(now, g.state())
+		change, ok := k.NextChange(now, g.state())
 		if !ok {
 			continue
 		}
@@ -43,7 +43,7 @@
 }
 
 func options() Options {
-	return Options{Voters: 3, AbsentAfter: 3 * time.Second, ForgetAfter: 10 * time.Second}
+	return Options{TargetVoters: 3, VoterTimeout: 3 * time.Second, LearnerTimeout: 10 * time.Second}
 }
 
 func TestChanges(t *testing.T) {
@@ -97,7 +97,7 @@
 			is := is.New(t)
 			g := &group{members: c.members, silent: make(map[quorum.ReplicaID]bool)}
 			k := New(options())
-			k.Next(0, State{Self: 1, Members: c.members, Active: func(quorum.ReplicaID) bool { return true }})
+			k.NextChange(0, State{Self: 1, Members: c.members, IsActive: func(quorum.ReplicaID) bool { return true }})
 			for _, id := range c.silent {
 				g.silent[id] = true
 			}
--- a/internal/group/group_test.go
+++ b/internal/group/group_test.go
@@ -122,7 +122,7 @@
 	})
 	options := Options{
 		Name: p.Name, Addr: p.Addr, Cluster: "control", Peers: b.peers, Folder: b.path(p),
-		Keep:    roster.Options{Voters: 3, AbsentAfter: time.Second},
+		Keep:    roster.Options{TargetVoters: 3, VoterTimeout: time.Second},
 		Machine: out.state, Pool: out.pool, Now: time.Now, Log: zap.NewNop(), open: b.openStore,
 	}
 	if b.joining {
--- a/internal/group/keep.go
+++ b/internal/group/keep.go
@@ -30,7 +30,7 @@
 // keepMembers maintains the membership while this replica leads.
 func (g *Group) keepMembers(ctx context.Context) {
 	began := g.options.Now()
-	var keeper *roster.Keeper
+	var keeper *roster.Reconciler
 	pace.Every(ctx, keepInterval, func() {
 		n := g.current()
 		if n == nil {
@@ -45,7 +45,7 @@
 			keeper = roster.New(g.options.Keep)
 		}
 		now := g.options.Now().Sub(began)
-		if change, ok := keeper.Next(now, stateOf(status)); ok {
+		if change, ok := keeper.NextChange(now, stateOf(status)); ok {
 			g.change(ctx, n, change)
 		}
 	})
@@ -58,7 +58,7 @@
 	}
 	return roster.State{
 		Self: s.ID, Members: s.Membership.Members,
-		Active: func(id quorum.ReplicaID) bool { return active[id] },
+		IsActive: func(id quorum.ReplicaID) bool { return active[id] },
 	}
 }
 
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -46,7 +46,7 @@
 		Cluster: o.Settings.Control.Cluster,
 		Peers:   peers,
 		Seeds:   o.joins(),
-		Keep:    roster.Options{Voters: voters(o.Settings.Control.Tolerate)},
+		Keep:    roster.Options{TargetVoters: voters(o.Settings.Control.Tolerate)},
 		Tick:    o.Settings.Control.Tick,
 		Folder:  group.Folder(o.Settings.DataDir),
 		Machine: machine,
