--- a/core/fleet/answers.go
+++ b/core/fleet/answers.go
@@ -9,8 +9,8 @@
 	answersWindow = 1_000_000 // log indexes
 )
 
-// Answer is the remembered result of a request ID.
-type Answer struct {
+// CachedResult is the remembered result of a request ID.
+type CachedResult struct {
 	RequestID string `cbor:"1,keyasint"`
 	// Digest identifies the command that was answered.
 	Digest uint64 `cbor:"2,keyasint"`
@@ -21,24 +21,24 @@
 
 // answers remembers results by request ID, the oldest first in list.
 type answers struct {
-	list []Answer
-	byID map[string]Answer
+	list []CachedResult
+	byID map[string]CachedResult
 }
 
-func newAnswers(list []Answer) *answers {
-	a := &answers{byID: make(map[string]Answer, len(list))}
+func newAnswers(list []CachedResult) *answers {
+	a := &answers{byID: make(map[string]CachedResult, len(list))}
 	for _, answer := range list {
 		a.add(answer)
 	}
 	return a
 }
 
-func (a *answers) find(requestID string) (Answer, bool) {
+func (a *answers) find(requestID string) (CachedResult, bool) {
 	answer, ok := a.byID[requestID]
 	return answer, ok
 }
 
-func (a *answers) add(answer Answer) {
+func (a *answers) add(answer CachedResult) {
 	a.list = append(a.list, answer)
 	a.byID[answer.RequestID] = answer
 	a.expire(answer.Index)
@@ -56,4 +56,4 @@
 	a.list = slices.Delete(a.list, 0, drop)
 }
 
-func (a *answers) snapshot() []Answer { return slices.Clone(a.list) }
+func (a *answers) snapshot() []CachedResult { return slices.Clone(a.list) }
--- a/core/fleet/command.go
+++ b/core/fleet/command.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Kind is what a command does.
-type Kind uint8
+// CommandKind is what a command does.
+type CommandKind uint8
 
 // The kinds of commands.
 const (
 	// KindApply replaces the whole document. Its content is either the document
 	// or the patch that makes it of the expected version.
-	KindApply Kind = iota + 1
+	KindApply CommandKind = iota + 1
 	// KindPatch changes single items.
 	KindPatch
 	// KindRollback makes a new version that equals an earlier one.
@@ -23,23 +23,23 @@
 	KindCancelDrain
 	// KindImport replaces the document by one that another system numbers.
 	KindImport
-	// KindSeats notes which agents there are. The leader proposes it.
-	KindSeats
+	// KindRegistrations notes which agents there are. The leader proposes it.
+	KindRegistrations
 )
 
-var kindNames = map[Kind]string{
+var kindNames = map[CommandKind]string{
 	KindApply: "apply", KindPatch: "patch", KindRollback: "rollback", KindDrain: "drain", KindCancelDrain: "cancel drain",
-	KindImport: "import", KindSeats: "seats",
+	KindImport: "import", KindRegistrations: "seats",
 }
 
 // String returns the kind's name.
-func (k Kind) String() string { return nameOf(kindNames, k, "kind") }
+func (k CommandKind) String() string { return nameOf(kindNames, k, "kind") }
 
 // MarshalText returns the kind's name.
-func (k Kind) MarshalText() ([]byte, error) { return []byte(k.String()), nil }
+func (k CommandKind) MarshalText() ([]byte, error) { return []byte(k.String()), nil }
 
 // UnmarshalText reads the kind's name.
-func (k *Kind) UnmarshalText(text []byte) error { return unmarshalName(kindNames, k, text) }
+func (k *CommandKind) UnmarshalText(text []byte) error { return unmarshalName(kindNames, k, text) }
 
 // nameOf returns the name of value, or its number behind what it is.
 func nameOf[T ~uint8](names map[T]string, value T, what string) string {
@@ -57,37 +57,37 @@
 			return nil
 		}
 	}
-	return ErrValue.New("%q is not a known name", text)
+	return ErrInvalidValue.New("%q is not a known name", text)
 }
 
 // Command is one entry of the replicated log.
 type Command struct {
-	Kind Kind `cbor:"1,keyasint" json:"kind"`
+	Kind CommandKind `cbor:"1,keyasint" json:"kind"`
 	// RequestID is unique to what the operator asked for. A resend with the
 	// same ID gets the first result. Without one nothing is remembered.
 	RequestID string `cbor:"2,keyasint,omitempty" json:"request_id,omitempty"`
 	// Author and At are who asked and when, by the proposer's clock. They
 	// are shown in the history and decide nothing.
-	Author  string    `cbor:"3,keyasint,omitempty" json:"author,omitempty"`
-	At      time.Time `cbor:"4,keyasint" json:"at"`
-	Comment string    `cbor:"5,keyasint,omitempty" json:"comment,omitempty"`
-	// Expected is the version that the operator saw. Apply and Rollback need
+	Author     string    `cbor:"3,keyasint,omitempty" json:"author,omitempty"`
+	ProposedAt time.Time `cbor:"4,keyasint" json:"at"`
+	Comment    string    `cbor:"5,keyasint,omitempty" json:"comment,omitempty"`
+	// ExpectedVersion is the version that the operator saw. Apply and Rollback need
 	// it to be the current one. Patch needs the items that it touches to be
 	// unchanged since.
-	Expected uint64 `cbor:"6,keyasint" json:"expected"`
+	ExpectedVersion uint64 `cbor:"6,keyasint" json:"expected"`
 	// Document is the content of KindApply. The machine keeps it.
 	Document *Document `cbor:"7,keyasint,omitempty" json:"document,omitempty"`
 	// Patch is the content of KindPatch, or of KindApply in place of Document.
 	// The machine keeps it.
 	Patch *Patch `cbor:"8,keyasint,omitempty" json:"patch,omitempty"`
-	// Version is set for KindRollback: the version to return to.
-	Version uint64 `cbor:"9,keyasint,omitempty" json:"version,omitempty"`
+	// RollbackVersion is set for KindRollback: the version to return to.
+	RollbackVersion uint64 `cbor:"9,keyasint,omitempty" json:"version,omitempty"`
 	// BackendServer is set for KindDrain and KindCancelDrain.
 	BackendServer string `cbor:"10,keyasint,omitempty" json:"backend_server,omitempty"`
 	// Import is set for KindImport, beside Document.
 	Import *Import `cbor:"11,keyasint,omitempty" json:"import,omitempty"`
-	// Seats is the content of KindSeats.
-	Seats *SeatChange `cbor:"12,keyasint,omitempty" json:"seats,omitempty"`
+	// Registrations is the content of KindSeats.
+	Registrations *RegistrationChange `cbor:"12,keyasint,omitempty" json:"seats,omitempty"`
 }
 
 // Outcome is how a command ended.
@@ -95,20 +95,20 @@
 
 // The outcomes of commands.
 const (
-	// Accepted commands are in force from Result.Version and Result.Revision.
-	Accepted Outcome = iota + 1
-	// Conflict is for commands that expected another version.
-	Conflict
-	// Invalid is for commands with problems.
-	Invalid
-	// NotFound is for a version or a drain that does not exist.
-	NotFound
-	// Reused is for a request ID that an unlike command used before.
-	Reused
+	// OutcomeAccepted commands are in force from Result.Version and Result.Revision.
+	OutcomeAccepted Outcome = iota + 1
+	// OutcomeConflict is for commands that expected another version.
+	OutcomeConflict
+	// OutcomeInvalid is for commands with problems.
+	OutcomeInvalid
+	// OutcomeNotFound is for a version or a drain that does not exist.
+	OutcomeNotFound
+	// OutcomeRequestIDReused is for a request ID that an unlike command used before.
+	OutcomeRequestIDReused
 )
 
 var outcomeNames = map[Outcome]string{
-	Accepted: "accepted", Conflict: "conflict", Invalid: "invalid", NotFound: "not found", Reused: "request ID reused",
+	OutcomeAccepted: "accepted", OutcomeConflict: "conflict", OutcomeInvalid: "invalid", OutcomeNotFound: "not found", OutcomeRequestIDReused: "request ID reused",
 }
 
 // String returns the outcome's name.
@@ -138,7 +138,7 @@
 type Drain struct {
 	BackendServer string    `cbor:"1,keyasint" json:"backend_server"`
 	Author        string    `cbor:"2,keyasint" json:"author,omitempty"`
-	At            time.Time `cbor:"3,keyasint" json:"at"`
+	ProposedAt    time.Time `cbor:"3,keyasint" json:"at"`
 	Comment       string    `cbor:"4,keyasint" json:"comment,omitempty"`
 }
 
@@ -171,11 +171,11 @@
 			add("patch", "a patch is required")
 		}
 	case KindRollback:
-	case KindSeats:
-		if c.Seats == nil {
+	case KindRegistrations:
+		if c.Registrations == nil {
 			add("seats", "a change of seats is required")
 		} else {
-			found = append(found, c.Seats.problems()...)
+			found = append(found, c.Registrations.problems()...)
 		}
 	case KindImport:
 		if c.Document == nil || c.Import == nil || c.Import.Number == 0 {
--- a/core/fleet/digest.go
+++ b/core/fleet/digest.go
@@ -11,8 +11,8 @@
 func (c *Command) digest() uint64 {
 	h := hasher{xxhash.New()}
 	h.number(uint64(c.Kind))
-	h.number(c.Expected)
-	h.number(c.Version)
+	h.number(c.ExpectedVersion)
+	h.number(c.RollbackVersion)
 	h.text(c.BackendServer)
 	h.text(c.Comment)
 	if c.Document != nil {
@@ -25,7 +25,7 @@
 	}
 	if c.Import != nil {
 		h.number(c.Import.Number)
-		h.text(string(c.Import.Source))
+		h.text(string(c.Import.RawDocument))
 	}
 	return h.Sum64()
 }
@@ -89,8 +89,8 @@
 		h.number(uint64(c.MostUrgent)<<8 | uint64(c.LeastUrgent))
 		h.number(uint64(c.Share))
 	}
-	h.number(uint64(len(s.Repeatable)))
-	for _, route := range s.Repeatable {
+	h.number(uint64(len(s.RepeatableRoutes)))
+	for _, route := range s.RepeatableRoutes {
 		h.text(route.Method)
 		h.text(route.Prefix)
 	}
@@ -101,6 +101,6 @@
 	for i := range list {
 		e := &list[i]
 		h.texts([]string{e.Name, string(e.Scope), e.Target, string(e.Key), e.Value, e.Reason})
-		h.number(uint64(e.Expires.Unix()))
+		h.number(uint64(e.ExpiresAt.Unix()))
 	}
 }
--- a/core/fleet/document.go
+++ b/core/fleet/document.go
@@ -53,8 +53,8 @@
 	Share Share `cbor:"5,keyasint" json:"share"`
 	// Classes divide the service's share by urgency.
 	Classes []Class `cbor:"6,keyasint" json:"classes,omitempty"`
-	// Repeatable lists the requests that may run more than once.
-	Repeatable []Route `cbor:"7,keyasint" json:"repeatable,omitempty"`
+	// RepeatableRoutes lists the requests that may run more than once.
+	RepeatableRoutes []Route `cbor:"7,keyasint" json:"repeatable,omitempty"`
 }
 
 // Class is the requests of a service within a range of urgencies.
@@ -90,21 +90,21 @@
 
 // Exception overrides one default for one zone, service or backend server.
 type Exception struct {
-	Name   string `cbor:"1,keyasint" json:"name"`
-	Scope  Scope  `cbor:"2,keyasint" json:"scope"`
-	Target string `cbor:"3,keyasint" json:"target"`
-	Key    Key    `cbor:"4,keyasint" json:"key"`
+	Name   string     `cbor:"1,keyasint" json:"name"`
+	Scope  Scope      `cbor:"2,keyasint" json:"scope"`
+	Target string     `cbor:"3,keyasint" json:"target"`
+	Key    SettingKey `cbor:"4,keyasint" json:"key"`
 	// Value is written as in the defaults.
 	Value string `cbor:"5,keyasint" json:"value"`
 	// Reason says why, in the operator's words. It is mandatory.
 	Reason string `cbor:"6,keyasint" json:"reason"`
-	// Expires ends the exception; the zero time stands for never.
-	Expires time.Time `cbor:"7,keyasint" json:"expires,omitzero"`
+	// ExpiresAt ends the exception; the zero time stands for never.
+	ExpiresAt time.Time `cbor:"7,keyasint" json:"expires,omitzero"`
 }
 
 // Expired reports whether the exception has ended at now.
 func (e *Exception) Expired(now time.Time) bool {
-	return !e.Expires.IsZero() && !e.Expires.After(now)
+	return !e.ExpiresAt.IsZero() && !e.ExpiresAt.After(now)
 }
 
 // Normalize sorts the document and drops empty slices, so that equal documents
@@ -120,14 +120,14 @@
 		d.Services[i].normalize()
 	}
 	for i := range d.Exceptions {
-		d.Exceptions[i].Expires = wholeSeconds(d.Exceptions[i].Expires)
+		d.Exceptions[i].ExpiresAt = wholeSeconds(d.Exceptions[i].ExpiresAt)
 	}
 }
 
 func (s *Service) normalize() {
 	s.Addresses = nonEmpty(s.Addresses)
 	s.Classes = nonEmpty(s.Classes)
-	s.Repeatable = nonEmpty(s.Repeatable)
+	s.RepeatableRoutes = nonEmpty(s.RepeatableRoutes)
 }
 
 func nonEmpty[T any](list []T) []T {
@@ -163,9 +163,9 @@
 	BackendServer string
 }
 
-// Effective returns the settings for a target at now: the defaults, overridden
+// EffectiveSettings returns the settings for a target at now: the defaults, overridden
 // by the exceptions that have not expired, the narrower scope last.
-func (d *Document) Effective(target Target, now time.Time) Settings {
+func (d *Document) EffectiveSettings(target Target, now time.Time) Settings {
 	settings := d.Defaults
 	for _, scope := range anyScope {
 		for i := range d.Exceptions {
@@ -190,8 +190,8 @@
 	}
 }
 
-// Expired returns the exceptions that have ended at now.
-func (d *Document) Expired(now time.Time) []Exception {
+// ExpiredExceptions returns the exceptions that have ended at now.
+func (d *Document) ExpiredExceptions(now time.Time) []Exception {
 	var expired []Exception
 	for _, e := range d.Exceptions {
 		if e.Expired(now) {
--- a/core/fleet/fleet_test.go
+++ b/core/fleet/fleet_test.go
@@ -35,7 +35,7 @@
 	desk := service("order-desk", 443)
 	desk.Mode, desk.Share = ModeRequest, 400_000
 	desk.Classes = []Class{{"amendment", 0, 1, 500_000}, {"rest", 2, 7, 200_000}}
-	desk.Repeatable = []Route{{"GET", "/"}, {"PUT", "/orders/"}}
+	desk.RepeatableRoutes = []Route{{"GET", "/"}, {"PUT", "/orders/"}}
 	d := document(service("catalogue", 444), desk)
 	d.Exceptions = []Exception{
 		{"a-zone", ScopeZone, "sejong-a", "weight", "40", "half its uplink is under repair", start.Add(time.Hour)},
@@ -52,7 +52,7 @@
 		want   string
 	}{
 		{"none", func(*Document) {}, ""},
-		{"default out of range", func(d *Document) { d.Defaults.Lease = time.Hour }, "[defaults] lease: 1h0m0s is outside 2s to 5m0s"},
+		{"default out of range", func(d *Document) { d.Defaults.LeaseDuration = time.Hour }, "[defaults] lease: 1h0m0s is outside 2s to 5m0s"},
 		{"name", func(d *Document) { d.Services[0].Name = "Cat" }, `[service.Cat] "Cat" is not a name`},
 		{"mode", func(d *Document) { d.Services[0].Mode = "tcp" }, `[service.catalogue] mode: "tcp" is none of`},
 		{"no address", func(d *Document) { d.Services[0].Addresses = nil }, "[service.catalogue] addresses: 0 addresses"},
@@ -68,8 +68,8 @@
 		{"class range", func(d *Document) { d.Services[1].Classes[1].LeastUrgent = 8 }, "not a range within 0 to 7"},
 		{"class name", func(d *Document) { d.Services[1].Classes[1].Name = "amendment" }, `duplicate class "amendment"`},
 		{"repeatable of packets", func(d *Document) { d.Services[1].Mode = ModePacket }, "only services of mode request"},
-		{"method", func(d *Document) { d.Services[1].Repeatable[0].Method = "get" }, `"get" is not an upper-case method`},
-		{"path", func(d *Document) { d.Services[1].Repeatable[0].Prefix = "orders" }, `"orders" is not a path`},
+		{"method", func(d *Document) { d.Services[1].RepeatableRoutes[0].Method = "get" }, `"get" is not an upper-case method`},
+		{"path", func(d *Document) { d.Services[1].RepeatableRoutes[0].Prefix = "orders" }, `"orders" is not a path`},
 		{"no reason", func(d *Document) { d.Exceptions[0].Reason = "  " }, "[exception.a-zone] reason: a written reason is required"},
 		{"short reason", func(d *Document) { d.Exceptions[0].Reason = "because" }, "say why"},
 		{"unknown scope", func(d *Document) { d.Exceptions[0].Scope = "rack" }, `"rack" is none of`},
@@ -122,19 +122,19 @@
 	}
 	for _, tt := range tests {
 		is := is.New(t)
-		is.Equal(d.Effective(tt.target, tt.at).Weight, tt.weight)
-		is.Equal(NewResolver(d, tt.at).Effective(tt.target), d.Effective(tt.target, tt.at))
+		is.Equal(d.EffectiveSettings(tt.target, tt.at).Weight, tt.weight)
+		is.Equal(NewResolver(d, tt.at).EffectiveSettings(tt.target), d.EffectiveSettings(tt.target, tt.at))
 	}
 	is := is.New(t)
-	is.Equal(len(d.Expired(start)), 0)
-	is.Equal(NewResolver(d, start.Add(time.Hour)).Expired(), 1)
-	is.Equal(d.Expired(start.Add(time.Hour))[0].Name, "a-zone")
+	is.Equal(len(d.ExpiredExceptions(start)), 0)
+	is.Equal(NewResolver(d, start.Add(time.Hour)).ExpiredCount(), 1)
+	is.Equal(d.ExpiredExceptions(start.Add(time.Hour))[0].Name, "a-zone")
 }
 
 func TestSettingsTextRoundTrip(t *testing.T) {
 	is := is.New(t)
 	var s Settings
-	for _, key := range Keys() {
+	for _, key := range SettingKeys() {
 		defaults := DefaultSettings()
 		is.NoErr(s.Set(key, defaults.Get(key)))
 	}
@@ -142,9 +142,9 @@
 	for _, bad := range []struct{ key, value string }{
 		{"weight", "1e3"}, {"weight", "-1"}, {"retry_budget", "10"}, {"retry_budget", "101%"}, {"lease", "5"}, {"x", "1"},
 	} {
-		is.True(s.Set(Key(bad.key), bad.value) != nil)
+		is.True(s.Set(SettingKey(bad.key), bad.value) != nil)
 	}
-	for text, want := range map[string]Share{"0%": 0, "100%": Whole, "0.0001%": 1, "12.5%": 125_000} {
+	for text, want := range map[string]Share{"0%": 0, "100%": FullShare, "0.0001%": 1, "12.5%": 125_000} {
 		got, err := ParseShare(text)
 		is.NoErr(err)
 		is.Equal(got, want)
@@ -159,16 +159,16 @@
 func TestOperatorsRaceAndResend(t *testing.T) {
 	one, two := document(service("one", 1)), document(service("two", 2))
 	apply := func(id string, expected uint64, d *Document) Command {
-		return Command{Kind: KindApply, RequestID: id, Expected: expected, Document: d}
+		return Command{Kind: KindApply, RequestID: id, ExpectedVersion: expected, Document: d}
 	}
 	put := func(id string, expected uint64, s Service) Command {
-		return Command{Kind: KindPatch, RequestID: id, Expected: expected, Patch: &Patch{PutServices: []Service{s}}}
+		return Command{Kind: KindPatch, RequestID: id, ExpectedVersion: expected, Patch: &Patch{PutServices: []Service{s}}}
 	}
 	rollback := func(id string, expected, to uint64) Command {
-		return Command{Kind: KindRollback, RequestID: id, Expected: expected, Version: to}
+		return Command{Kind: KindRollback, RequestID: id, ExpectedVersion: expected, RollbackVersion: to}
 	}
 	whole := func(id string, expected uint64) Command {
-		return Command{Kind: KindApply, RequestID: id, Expected: expected, Patch: &Patch{DeleteServices: []string{"one"}}}
+		return Command{Kind: KindApply, RequestID: id, ExpectedVersion: expected, Patch: &Patch{DeleteServices: []string{"one"}}}
 	}
 	drain := Command{Kind: KindDrain, BackendServer: "one-1"}
 	type step struct {
@@ -180,22 +180,22 @@
 		name  string
 		steps []step
 	}{
-		{"equal versions", []step{{apply("a", 0, one), Accepted, 1}, {apply("b", 0, two), Conflict, 1}}},
-		{"equal versions, equal documents", []step{{apply("a", 0, one), Accepted, 1}, {apply("b", 0, one), Conflict, 1}}},
-		{"resend of the winner", []step{{apply("a", 0, one), Accepted, 1}, {apply("b", 1, two), Accepted, 2}, {apply("a", 0, one), Accepted, 1}}},
-		{"resend of the loser", []step{{apply("a", 0, one), Accepted, 1}, {apply("b", 0, two), Conflict, 1}, {apply("c", 1, two), Accepted, 2}, {apply("b", 0, two), Conflict, 1}}},
-		{"resend of an invalid one", []step{{apply("a", 0, document(service("X", 1))), Invalid, 0}, {apply("b", 0, one), Accepted, 1}, {apply("a", 0, document(service("X", 1))), Invalid, 0}}},
-		{"request ID of another document", []step{{apply("a", 0, one), Accepted, 1}, {apply("a", 0, two), Reused, 1}, {apply("a", 1, two), Reused, 1}}},
-		{"without request ID", []step{{apply("", 0, one), Accepted, 1}, {apply("", 0, one), Conflict, 1}}},
-		{"patches of two services", []step{{put("a", 0, service("one", 1)), Accepted, 1}, {put("b", 0, service("two", 2)), Accepted, 2}}},
-		{"patches of one service", []step{{put("a", 0, service("one", 1)), Accepted, 1}, {put("b", 0, service("one", 2)), Conflict, 1}, {put("c", 1, service("one", 2)), Accepted, 2}}},
-		{"patches that take one address", []step{{put("a", 0, service("one", 1)), Accepted, 1}, {put("b", 0, service("two", 1)), Invalid, 1}}},
-		{"whole document as a patch", []step{{apply("a", 0, one), Accepted, 1}, {whole("b", 1), Accepted, 2}, {whole("c", 1), Conflict, 2}, {whole("b", 1), Accepted, 2}}},
-		{"patch from the future", []step{{put("a", 5, service("one", 1)), Conflict, 0}}},
-		{"rollback is a new version", []step{{apply("a", 0, one), Accepted, 1}, {apply("b", 1, two), Accepted, 2}, {rollback("c", 2, 1), Accepted, 3}, {rollback("d", 2, 1), Conflict, 3}, {rollback("e", 3, 9), NotFound, 3}}},
-		{"drain leaves the version", []step{{apply("a", 0, one), Accepted, 1}, {drain, Accepted, 1}, {drain, Accepted, 1}, {apply("b", 1, two), Accepted, 2}}},
-		{"cancel of no drain", []step{{Command{Kind: KindCancelDrain, BackendServer: "one-1"}, NotFound, 0}}},
-		{"malformed", []step{{Command{}, Invalid, 0}, {Command{Kind: KindApply}, Invalid, 0}, {Command{Kind: KindPatch}, Invalid, 0}, {Command{Kind: KindDrain}, Invalid, 0}}},
+		{"equal versions", []step{{apply("a", 0, one), OutcomeAccepted, 1}, {apply("b", 0, two), OutcomeConflict, 1}}},
+		{"equal versions, equal documents", []step{{apply("a", 0, one), OutcomeAccepted, 1}, {apply("b", 0, one), OutcomeConflict, 1}}},
+		{"resend of the winner", []step{{apply("a", 0, one), OutcomeAccepted, 1}, {apply("b", 1, two), OutcomeAccepted, 2}, {apply("a", 0, one), OutcomeAccepted, 1}}},
+		{"resend of the loser", []step{{apply("a", 0, one), OutcomeAccepted, 1}, {apply("b", 0, two), OutcomeConflict, 1}, {apply("c", 1, two), OutcomeAccepted, 2}, {apply("b", 0, two), OutcomeConflict, 1}}},
+		{"resend of an invalid one", []step{{apply("a", 0, document(service("X", 1))), OutcomeInvalid, 0}, {apply("b", 0, one), OutcomeAccepted, 1}, {apply("a", 0, document(service("X", 1))), OutcomeInvalid, 0}}},
+		{"request ID of another document", []step{{apply("a", 0, one), OutcomeAccepted, 1}, {apply("a", 0, two), OutcomeRequestIDReused, 1}, {apply("a", 1, two), OutcomeRequestIDReused, 1}}},
+		{"without request ID", []step{{apply("", 0, one), OutcomeAccepted, 1}, {apply("", 0, one), OutcomeConflict, 1}}},
+		{"patches of two services", []step{{put("a", 0, service("one", 1)), OutcomeAccepted, 1}, {put("b", 0, service("two", 2)), OutcomeAccepted, 2}}},
+		{"patches of one service", []step{{put("a", 0, service("one", 1)), OutcomeAccepted, 1}, {put("b", 0, service("one", 2)), OutcomeConflict, 1}, {put("c", 1, service("one", 2)), OutcomeAccepted, 2}}},
+		{"patches that take one address", []step{{put("a", 0, service("one", 1)), OutcomeAccepted, 1}, {put("b", 0, service("two", 1)), OutcomeInvalid, 1}}},
+		{"whole document as a patch", []step{{apply("a", 0, one), OutcomeAccepted, 1}, {whole("b", 1), OutcomeAccepted, 2}, {whole("c", 1), OutcomeConflict, 2}, {whole("b", 1), OutcomeAccepted, 2}}},
+		{"patch from the future", []step{{put("a", 5, service("one", 1)), OutcomeConflict, 0}}},
+		{"rollback is a new version", []step{{apply("a", 0, one), OutcomeAccepted, 1}, {apply("b", 1, two), OutcomeAccepted, 2}, {rollback("c", 2, 1), OutcomeAccepted, 3}, {rollback("d", 2, 1), OutcomeConflict, 3}, {rollback("e", 3, 9), OutcomeNotFound, 3}}},
+		{"drain leaves the version", []step{{apply("a", 0, one), OutcomeAccepted, 1}, {drain, OutcomeAccepted, 1}, {drain, OutcomeAccepted, 1}, {apply("b", 1, two), OutcomeAccepted, 2}}},
+		{"cancel of no drain", []step{{Command{Kind: KindCancelDrain, BackendServer: "one-1"}, OutcomeNotFound, 0}}},
+		{"malformed", []step{{Command{}, OutcomeInvalid, 0}, {Command{Kind: KindApply}, OutcomeInvalid, 0}, {Command{Kind: KindPatch}, OutcomeInvalid, 0}, {Command{Kind: KindDrain}, OutcomeInvalid, 0}}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -218,13 +218,13 @@
 	m := New()
 	documents := []*Document{document(service("a", 1)), document(service("b", 1)), document(service("a", 1), service("b", 2))}
 	for i, d := range documents {
-		is.Equal(m.Apply(uint64(i+1), Command{Kind: KindApply, Expected: uint64(i), Document: d}).Outcome, Accepted)
+		is.Equal(m.Apply(uint64(i+1), Command{Kind: KindApply, ExpectedVersion: uint64(i), Document: d}).Outcome, OutcomeAccepted)
 	}
 	is.Equal(m.Document().Service("b").ID, documents[1].Service("b").ID) // kept while it lives
 	is.Equal(uint32(m.Document().Service("a").ID), uint32(3))            // deleted and made again
-	is.Equal(m.Apply(9, Command{Kind: KindRollback, Expected: 3, Version: 1}).Outcome, Accepted)
+	is.Equal(m.Apply(9, Command{Kind: KindRollback, ExpectedVersion: 3, RollbackVersion: 1}).Outcome, OutcomeAccepted)
 	is.Equal(m.Document().Service("a").ID, documents[2].Service("a").ID) // kept through the rollback
-	is.Equal(m.Apply(10, Command{Kind: KindRollback, Expected: 4, Version: 2}).Outcome, Accepted)
+	is.Equal(m.Apply(10, Command{Kind: KindRollback, ExpectedVersion: 4, RollbackVersion: 2}).Outcome, OutcomeAccepted)
 	is.Equal(uint32(m.Document().Service("b").ID), uint32(4))
 }
 
@@ -233,27 +233,27 @@
 	m := New()
 	patch := func(i int) Command {
 		return Command{
-			Kind: KindPatch, RequestID: fmt.Sprint(i), Expected: uint64(i),
+			Kind: KindPatch, RequestID: fmt.Sprint(i), ExpectedVersion: uint64(i),
 			Patch: &Patch{PutServices: []Service{service("a", 1+i%60_000)}},
 		}
 	}
 	for i := range maxAnswers + 10 {
-		is.Equal(m.Apply(uint64(i+1), patch(i)).Outcome, Accepted)
+		is.Equal(m.Apply(uint64(i+1), patch(i)).Outcome, OutcomeAccepted)
 	}
 	is.Equal(len(m.answers.list), maxAnswers)
 	is.Equal(len(m.answers.byID), maxAnswers)
 	is.Equal(len(m.history.entries), maxHistory)
-	is.Equal(m.Apply(20_000, patch(10)).Version, uint64(11))         // the oldest that is remembered
-	is.Equal(m.Apply(20_001, patch(9)).Outcome, Conflict)            // forgotten, and still not run twice
-	is.Equal(m.Apply(20_000, patch(maxAnswers+10)).Outcome, Invalid) // an index twice
+	is.Equal(m.Apply(20_000, patch(10)).Version, uint64(11))                // the oldest that is remembered
+	is.Equal(m.Apply(20_001, patch(9)).Outcome, OutcomeConflict)            // forgotten, and still not run twice
+	is.Equal(m.Apply(20_000, patch(maxAnswers+10)).Outcome, OutcomeInvalid) // an index twice
 	m.Apply(20_001+answersWindow, Command{Kind: KindDrain, BackendServer: "x"})
 	is.Equal(len(m.answers.list), 0)
-	_, ok := m.At(m.Version() - maxHistory - 1)
+	_, ok := m.DocumentAt(m.Version() - maxHistory - 1)
 	is.True(!ok)
 
 	big := newHistory(nil)
 	for i := range 3 {
-		big.add(Entry{Version: uint64(i), Undo: Patch{DeleteServices: make([]string, maxHistoryItems*2/3)}})
+		big.add(HistoryEntry{Version: uint64(i), Undo: Patch{DeleteServices: make([]string, maxHistoryItems*2/3)}})
 	}
 	is.Equal(len(big.entries), 1)
 }
@@ -275,7 +275,7 @@
 				t.Fatalf("seed %d index %d: replicas answer %v and %v", seed, index, got, same)
 			}
 			c := command()
-			if earlier, ok := first[c.RequestID]; ok && got.Outcome != Reused && !reflect.DeepEqual(got, earlier) {
+			if earlier, ok := first[c.RequestID]; ok && got.Outcome != OutcomeRequestIDReused && !reflect.DeepEqual(got, earlier) {
 				t.Fatalf("seed %d index %d: resend got %v, first %v", seed, index, got, earlier)
 			} else if !ok {
 				first[c.RequestID] = got
@@ -291,7 +291,7 @@
 			}
 		}
 		for version, want := range naive {
-			got, ok := m.At(uint64(version))
+			got, ok := m.DocumentAt(uint64(version))
 			if diff := Diff(got, want); !ok || diff.Size() != 0 {
 				t.Fatalf("seed %d: version %d differs by %+v", seed, version, diff)
 			}
@@ -303,11 +303,11 @@
 }
 
 func randomCommand(rng *rand.Rand, version uint64) Command {
-	c := Command{RequestID: fmt.Sprint(rng.IntN(90)), Expected: version - min(version, uint64(rng.IntN(6)/4)), At: start}
+	c := Command{RequestID: fmt.Sprint(rng.IntN(90)), ExpectedVersion: version - min(version, uint64(rng.IntN(6)/4)), ProposedAt: start}
 	random := func() Service { return service(fmt.Sprintf("s%d", rng.IntN(8)), 1+rng.IntN(200)) }
 	switch rng.IntN(6) {
 	case 0:
-		c.Kind, c.Version = KindRollback, uint64(rng.IntN(int(version)+2))
+		c.Kind, c.RollbackVersion = KindRollback, uint64(rng.IntN(int(version)+2))
 	case 1:
 		c.Kind, c.Document = KindApply, document()
 		for range rng.IntN(5) {
@@ -315,7 +315,7 @@
 		}
 		c.Document.Defaults.Weight = uint32(rng.IntN(3)) * 100
 	case 2:
-		c.Kind, c.BackendServer = KindDrain+Kind(rng.IntN(2)), fmt.Sprintf("b%d", rng.IntN(3))
+		c.Kind, c.BackendServer = KindDrain+CommandKind(rng.IntN(2)), fmt.Sprintf("b%d", rng.IntN(3))
 	default:
 		c.Kind, c.Patch = KindPatch, &Patch{PutServices: []Service{random()}, DeleteServices: []string{random().Name}}
 	}
@@ -329,7 +329,7 @@
 		c.Document.Normalize()
 		return c.Document
 	case KindRollback:
-		return versions[c.Version]
+		return versions[c.RollbackVersion]
 	}
 	next := &Document{Defaults: current.Defaults}
 	for _, s := range current.Services {
@@ -345,10 +345,10 @@
 func TestDamagedSnapshotsAreRefused(t *testing.T) {
 	is := is.New(t)
 	m := New()
-	is.Equal(m.Apply(1, Command{Kind: KindApply, Document: sample()}).Outcome, Accepted)
+	is.Equal(m.Apply(1, Command{Kind: KindApply, Document: sample()}).Outcome, OutcomeAccepted)
 	for name, damage := range map[string]func(s *Snapshot){
 		"format":   func(s *Snapshot) { s.Format++ },
-		"document": func(s *Snapshot) { s.Document.Defaults.Lease = 0 },
+		"document": func(s *Snapshot) { s.Document.Defaults.LeaseDuration = 0 },
 		"ID":       func(s *Snapshot) { s.NextID = 1 },
 		"history":  func(s *Snapshot) { s.Version++ },
 	} {
@@ -379,8 +379,8 @@
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		changed[0].Share = Share(i % 100)
-		c := Command{Kind: KindPatch, Expected: m.Version(), Patch: &Patch{PutServices: slices.Clone(changed)}}
-		if m.Apply(uint64(i+2), c).Outcome != Accepted {
+		c := Command{Kind: KindPatch, ExpectedVersion: m.Version(), Patch: &Patch{PutServices: slices.Clone(changed)}}
+		if m.Apply(uint64(i+2), c).Outcome != OutcomeAccepted {
 			b.Fatal("not accepted")
 		}
 	}
@@ -399,14 +399,14 @@
 		for b.Loop() {
 			r := NewResolver(d, start)
 			for i := range d.Services {
-				r.Effective(Target{Service: d.Services[i].Name})
+				r.EffectiveSettings(Target{Service: d.Services[i].Name})
 			}
 		}
 	})
 	b.Run("document", func(b *testing.B) {
 		for b.Loop() {
 			for i := range d.Services {
-				d.Effective(Target{Service: d.Services[i].Name}, start)
+				d.EffectiveSettings(Target{Service: d.Services[i].Name}, start)
 			}
 		}
 	})
--- a/core/fleet/history.go
+++ b/core/fleet/history.go
@@ -11,13 +11,13 @@
 	maxHistoryItems = 100_000 // services, exceptions and defaults over all versions
 )
 
-// Entry describes one version of the document.
-type Entry struct {
-	Version uint64    `cbor:"1,keyasint" json:"version"`
-	Kind    Kind      `cbor:"2,keyasint" json:"kind"`
-	Author  string    `cbor:"3,keyasint" json:"author"`
-	At      time.Time `cbor:"4,keyasint" json:"at"`
-	Comment string    `cbor:"5,keyasint" json:"comment"`
+// HistoryEntry describes one version of the document.
+type HistoryEntry struct {
+	Version    uint64      `cbor:"1,keyasint" json:"version"`
+	Kind       CommandKind `cbor:"2,keyasint" json:"kind"`
+	Author     string      `cbor:"3,keyasint" json:"author"`
+	ProposedAt time.Time   `cbor:"4,keyasint" json:"at"`
+	Comment    string      `cbor:"5,keyasint" json:"comment"`
 	// Undo turns this version into the one before.
 	Undo Patch `cbor:"6,keyasint" json:"-"`
 }
@@ -25,11 +25,11 @@
 // history holds the entries of the last versions, the oldest first. Versions
 // follow each other without gaps.
 type history struct {
-	entries []Entry
+	entries []HistoryEntry
 	items   int
 }
 
-func newHistory(entries []Entry) *history {
+func newHistory(entries []HistoryEntry) *history {
 	h := &history{}
 	for _, e := range entries {
 		h.add(e)
@@ -37,7 +37,7 @@
 	return h
 }
 
-func (h *history) add(e Entry) {
+func (h *history) add(e HistoryEntry) {
 	h.entries = append(h.entries, e)
 	h.items += e.Undo.Size()
 	drop := 0
@@ -50,7 +50,7 @@
 
 // since returns the entries of the versions after version. It is false where
 // some of them are forgotten.
-func (h *history) since(version, current uint64) ([]Entry, bool) {
+func (h *history) since(version, current uint64) ([]HistoryEntry, bool) {
 	if version > current || current-version > uint64(len(h.entries)) {
 		return nil, false
 	}
@@ -58,7 +58,7 @@
 }
 
 // undoAll returns one patch that undoes entries, the newest first.
-func undoAll(entries []Entry) Patch {
+func undoAll(entries []HistoryEntry) Patch {
 	services := make(map[string]*Service)
 	exceptions := make(map[string]*Exception)
 	var all Patch
--- a/core/fleet/import.go
+++ b/core/fleet/import.go
@@ -11,23 +11,23 @@
 	// Name is the operators' name of the listener.
 	Name    string         `cbor:"1,keyasint" json:"name"`
 	Address netip.AddrPort `cbor:"2,keyasint" json:"address"`
-	// Portions are the services that new flows go to, by weight.
-	Portions []Portion `cbor:"3,keyasint" json:"portions"`
+	// WeightedServices are the services that new flows go to, by weight.
+	WeightedServices []WeightedService `cbor:"3,keyasint" json:"portions"`
 	// Timeout is how long a caller waits for an answer at most.
 	Timeout time.Duration `cbor:"4,keyasint" json:"timeout"`
-	// Objective is the time within which an answer is of full use.
-	Objective time.Duration `cbor:"5,keyasint" json:"objective"`
+	// LatencyObjective is the time within which an answer is of full use.
+	LatencyObjective time.Duration `cbor:"5,keyasint" json:"objective"`
 	// Urgency is 0 for the most urgent requests.
 	Urgency uint8 `cbor:"6,keyasint" json:"urgency"`
 	// Idempotent requests may run more than once.
 	Idempotent bool `cbor:"7,keyasint" json:"idempotent"`
-	// Former are services that the listener led to before and that may still hold
+	// PreviousServices are services that the listener led to before and that may still hold
 	// flows of it. The Machine keeps them.
-	Former []string `cbor:"8,keyasint,omitempty" json:"former,omitempty"`
+	PreviousServices []string `cbor:"8,keyasint,omitempty" json:"former,omitempty"`
 }
 
-// Portion is a service's share of the new flows of a listener.
-type Portion struct {
+// WeightedService is a service's share of the new flows of a listener.
+type WeightedService struct {
 	Service string `cbor:"1,keyasint" json:"service"`
 	Weight  uint32 `cbor:"2,keyasint" json:"weight"`
 }
@@ -36,20 +36,20 @@
 // highest number is in force, in whatever order they arrive.
 type Import struct {
 	Number uint64 `cbor:"1,keyasint" json:"number"`
-	// Source is the document as the other system wrote it.
-	Source []byte `cbor:"2,keyasint" json:"source"`
+	// RawDocument is the document as the other system wrote it.
+	RawDocument []byte `cbor:"2,keyasint" json:"source"`
 }
 
-// Imported returns the import in force; its number is 0 where there is none.
+// ActiveImport returns the import in force; its number is 0 where there is none.
 // Treat its source as read-only.
-func (m *Machine) Imported() Import { return m.imported }
+func (m *StateMachine) ActiveImport() Import { return m.imported }
 
 // importDocument installs the document of an import that is newer than the one
 // in force. An older one, or one of the same number, is accepted and changes
 // nothing. Versions before an import can't be returned to.
-func (m *Machine) importDocument(c *Command) Result {
+func (m *StateMachine) importDocument(c *Command) Result {
 	if c.Import.Number <= m.imported.Number {
-		return m.result(Accepted)
+		return m.result(OutcomeAccepted)
 	}
 	if problems := c.Document.Validate(); len(problems) > 0 {
 		return m.invalid(problems...)
@@ -61,7 +61,7 @@
 	m.version++
 	m.revision++
 	m.history = newHistory(nil)
-	return m.result(Accepted)
+	return m.result(OutcomeAccepted)
 }
 
 // maxFormer bounds the former services of a listener.
@@ -76,29 +76,29 @@
 		for len(old) > 0 && old[0].Address.Compare(l.Address) < 0 {
 			old = old[1:]
 		}
-		l.Former = nil
+		l.PreviousServices = nil
 		if len(old) > 0 && old[0].Address == l.Address {
-			l.Former = former(&old[0], l, next)
+			l.PreviousServices = former(&old[0], l, next)
 		}
 	}
 }
 
 // former returns the services that before led to and next does not.
 func former(before, next *Listener, d *Document) []string {
-	names := make([]string, 0, len(before.Portions)+len(before.Former))
-	for _, p := range before.Portions {
+	names := make([]string, 0, len(before.WeightedServices)+len(before.PreviousServices))
+	for _, p := range before.WeightedServices {
 		names = append(names, p.Service)
 	}
-	names = append(names, before.Former...)
+	names = append(names, before.PreviousServices...)
 	names = slices.DeleteFunc(names, func(name string) bool {
-		leads := func(p Portion) bool { return p.Service == name }
-		return d.Service(name) == nil || slices.ContainsFunc(next.Portions, leads)
+		leads := func(p WeightedService) bool { return p.Service == name }
+		return d.Service(name) == nil || slices.ContainsFunc(next.WeightedServices, leads)
 	})
 	return nonEmpty(names[:min(len(names), maxFormer)])
 }
 
-// ListenerPrefix begins the section of a problem of a listener.
-const ListenerPrefix = "listener."
+// ListenerSectionPrefix begins the section of a problem of a listener.
+const ListenerSectionPrefix = "listener."
 
 const maxListeners = 100_000
 
@@ -109,18 +109,18 @@
 		v.add("", "%d listeners are more than %d", len(listeners), maxListeners)
 	}
 	for i := range listeners {
-		v.prefix, v.item = ListenerPrefix, listeners[i].Name
+		v.prefix, v.item = ListenerSectionPrefix, listeners[i].Name
 		v.listener(&listeners[i])
 	}
 }
 
 func (v *validator) listener(l *Listener) {
-	v.address("address", ListenerPrefix+l.Name, l.Address)
+	v.address("address", ListenerSectionPrefix+l.Name, l.Address)
 	if l.Timeout <= 0 {
 		v.add("timeout", "%s is not positive", l.Timeout)
 	}
 	var total uint64
-	for i, p := range l.Portions {
+	for i, p := range l.WeightedServices {
 		total += uint64(p.Weight)
 		s := v.document.Service(p.Service)
 		switch {
@@ -129,7 +129,7 @@
 		case s.Mode != ModeSegment:
 			v.add("portions", "service %q is of mode %s, not %s", p.Service, s.Mode, ModeSegment)
 		}
-		if slices.ContainsFunc(l.Portions[:i], func(o Portion) bool { return o.Service == p.Service }) {
+		if slices.ContainsFunc(l.WeightedServices[:i], func(o WeightedService) bool { return o.Service == p.Service }) {
 			v.add("portions", "duplicate service %q", p.Service)
 		}
 	}
--- a/core/fleet/import_test.go
+++ b/core/fleet/import_test.go
@@ -17,14 +17,14 @@
 	}
 	l := Listener{Name: "a", Address: netip.MustParseAddrPort("198.18.0.1:443"), Timeout: time.Second}
 	for _, name := range services {
-		l.Portions = append(l.Portions, Portion{Service: name, Weight: 1})
+		l.WeightedServices = append(l.WeightedServices, WeightedService{Service: name, Weight: 1})
 	}
 	d.Listeners = []Listener{l}
 	return d
 }
 
 func importCommand(number uint64, d *Document) Command {
-	return Command{Kind: KindImport, Import: &Import{Number: number, Source: []byte{byte(number)}}, Document: d}
+	return Command{Kind: KindImport, Import: &Import{Number: number, RawDocument: []byte{byte(number)}}, Document: d}
 }
 
 func TestHighestImportIsInForceInWhateverOrder(t *testing.T) {
@@ -33,9 +33,9 @@
 		m := New()
 		for i, number := range order {
 			result := m.Apply(uint64(i+1), importCommand(number, imported("order-desk")))
-			is.Equal(result.Outcome, Accepted)
+			is.Equal(result.Outcome, OutcomeAccepted)
 		}
-		is.Equal(m.Imported(), Import{Number: 3, Source: []byte{3}})
+		is.Equal(m.ActiveImport(), Import{Number: 3, RawDocument: []byte{3}})
 	}
 }
 
@@ -44,10 +44,10 @@
 	m := New()
 	m.Apply(1, importCommand(7, imported("order-desk")))
 	other := importCommand(7, imported("catalogue-hall"))
-	other.Import.Source = []byte("other")
-	is.Equal(m.Apply(2, other).Outcome, Accepted)
-	is.Equal(m.Imported().Source, []byte{7})
-	is.Equal(m.Document().Listeners[0].Portions[0].Service, "order-desk")
+	other.Import.RawDocument = []byte("other")
+	is.Equal(m.Apply(2, other).Outcome, OutcomeAccepted)
+	is.Equal(m.ActiveImport().RawDocument, []byte{7})
+	is.Equal(m.Document().Listeners[0].WeightedServices[0].Service, "order-desk")
 	is.Equal(m.Revision(), uint64(1))
 }
 
@@ -56,13 +56,13 @@
 		name   string
 		change func(d *Document)
 	}{
-		{"unknown service", func(d *Document) { d.Listeners[0].Portions[0].Service = "nobody" }},
+		{"unknown service", func(d *Document) { d.Listeners[0].WeightedServices[0].Service = "nobody" }},
 		{"two listeners at one address", func(d *Document) { d.Listeners = append(d.Listeners, d.Listeners[0]) }},
 		{"no timeout", func(d *Document) { d.Listeners[0].Timeout = 0 }},
-		{"no weight", func(d *Document) { d.Listeners[0].Portions[0].Weight = 0 }},
-		{"no service", func(d *Document) { d.Listeners[0].Portions = nil }},
+		{"no weight", func(d *Document) { d.Listeners[0].WeightedServices[0].Weight = 0 }},
+		{"no service", func(d *Document) { d.Listeners[0].WeightedServices = nil }},
 		{"a service twice", func(d *Document) {
-			d.Listeners[0].Portions = append(d.Listeners[0].Portions, d.Listeners[0].Portions[0])
+			d.Listeners[0].WeightedServices = append(d.Listeners[0].WeightedServices, d.Listeners[0].WeightedServices[0])
 		}},
 	}
 	for _, c := range cases {
@@ -72,9 +72,9 @@
 			d := imported("order-desk")
 			c.change(d)
 			result := m.Apply(1, importCommand(1, d))
-			is.Equal(result.Outcome, Invalid)
+			is.Equal(result.Outcome, OutcomeInvalid)
 			is.True(len(result.Problems) > 0)
-			is.Equal(m.Imported().Number, uint64(0))
+			is.Equal(m.ActiveImport().Number, uint64(0))
 		})
 	}
 }
@@ -83,14 +83,14 @@
 	is := is.New(t)
 	m := New()
 	one, two := netip.MustParseAddrPort("10.0.0.1:7000"), netip.MustParseAddrPort("10.0.0.2:7000")
-	m.Apply(1, Command{Kind: KindSeats, Seats: &SeatChange{Taken: []netip.AddrPort{two, one}}})
-	is.Equal(m.Seats(), []netip.AddrPort{one, two})
-	m.Apply(2, Command{Kind: KindSeats, Seats: &SeatChange{Left: []netip.AddrPort{two}}})
+	m.Apply(1, Command{Kind: KindRegistrations, Registrations: &RegistrationChange{Added: []netip.AddrPort{two, one}}})
+	is.Equal(m.RegisteredAgents(), []netip.AddrPort{one, two})
+	m.Apply(2, Command{Kind: KindRegistrations, Registrations: &RegistrationChange{Removed: []netip.AddrPort{two}}})
 	is.Equal(m.Version()+m.Revision(), uint64(0))
-	is.Equal(m.Apply(3, Command{Kind: KindSeats, Seats: &SeatChange{}}).Outcome, Invalid)
+	is.Equal(m.Apply(3, Command{Kind: KindRegistrations, Registrations: &RegistrationChange{}}).Outcome, OutcomeInvalid)
 	restored, err := Restore(m.Snapshot())
 	is.NoErr(err)
-	is.Equal(restored.Seats(), []netip.AddrPort{one})
+	is.Equal(restored.RegisteredAgents(), []netip.AddrPort{one})
 }
 
 func TestFormerServicesOfAListenerAreKept(t *testing.T) {
@@ -108,10 +108,10 @@
 	}
 	for i, s := range steps {
 		m.Apply(uint64(i+1), importCommand(uint64(i+1), imported(s.services...)))
-		is.True(slices.Equal(m.Document().Listeners[0].Former, s.former))
+		is.True(slices.Equal(m.Document().Listeners[0].PreviousServices, s.former))
 	}
 	restored, err := Restore(m.Snapshot())
 	is.NoErr(err)
 	is.Equal(restored.Document().Listeners, m.Document().Listeners)
-	is.Equal(restored.Imported(), m.Imported())
+	is.Equal(restored.ActiveImport(), m.ActiveImport())
 }
--- a/core/fleet/machine.go
+++ b/core/fleet/machine.go
@@ -11,9 +11,9 @@
 // maxProblems bounds the problems of one result, which is remembered.
 const maxProblems = 100
 
-// Machine is the replicated state. It is not safe for concurrent use; the
+// StateMachine is the replicated state. It is not safe for concurrent use; the
 // documents, drains and entries that it returns are never changed afterwards.
-type Machine struct {
+type StateMachine struct {
 	document *Document
 	version  uint64
 	revision uint64
@@ -28,8 +28,8 @@
 
 // New returns the state of a fleet before its first command: version 0, the
 // default settings and no service.
-func New() *Machine {
-	return &Machine{
+func New() *StateMachine {
+	return &StateMachine{
 		document: &Document{Defaults: DefaultSettings()},
 		nextID:   1,
 		history:  newHistory(nil),
@@ -39,27 +39,27 @@
 }
 
 // Document returns the current document. Treat it as read-only.
-func (m *Machine) Document() *Document { return m.document }
+func (m *StateMachine) Document() *Document { return m.document }
 
 // Version returns the number of the current document.
-func (m *Machine) Version() uint64 { return m.version }
+func (m *StateMachine) Version() uint64 { return m.version }
 
 // Revision returns the number of the current state.
-func (m *Machine) Revision() uint64 { return m.revision }
+func (m *StateMachine) Revision() uint64 { return m.revision }
 
 // Index returns the log index of the last command.
-func (m *Machine) Index() uint64 { return m.index }
+func (m *StateMachine) Index() uint64 { return m.index }
 
 // Drains returns the drains, sorted by backend server. Treat them as read-only.
-func (m *Machine) Drains() []Drain { return m.drains }
+func (m *StateMachine) Drains() []Drain { return m.drains }
 
 // History returns the entries of the versions that can be returned to, the
 // oldest first. Treat their content as read-only.
-func (m *Machine) History() []Entry { return slices.Clone(m.history.entries) }
+func (m *StateMachine) History() []HistoryEntry { return slices.Clone(m.history.entries) }
 
-// At returns the document as it was at version. It is false where the version
+// DocumentAt returns the document as it was at version. It is false where the version
 // is to come or forgotten.
-func (m *Machine) At(version uint64) (*Document, bool) {
+func (m *StateMachine) DocumentAt(version uint64) (*Document, bool) {
 	entries, ok := m.history.since(version, m.version)
 	if !ok {
 		return nil, false
@@ -69,7 +69,7 @@
 }
 
 // Apply executes the command at a log index, which grows from call to call.
-func (m *Machine) Apply(index uint64, c Command) Result {
+func (m *StateMachine) Apply(index uint64, c Command) Result {
 	if index <= m.index {
 		return m.invalid(Problem{Section: "command", Message: "log index was applied before"})
 	}
@@ -85,17 +85,17 @@
 	digest := c.digest()
 	if first, ok := m.answers.find(c.RequestID); ok {
 		if first.Digest != digest {
-			return m.result(Reused)
+			return m.result(OutcomeRequestIDReused)
 		}
 		return first.Result
 	}
 	result := m.execute(&c)
-	m.answers.add(Answer{RequestID: c.RequestID, Digest: digest, Index: index, Result: result})
+	m.answers.add(CachedResult{RequestID: c.RequestID, Digest: digest, Index: index, Result: result})
 	return result
 }
 
 func (c *Command) normalize() {
-	c.At = wholeSeconds(c.At)
+	c.ProposedAt = wholeSeconds(c.ProposedAt)
 	if c.Document != nil {
 		c.Document.Normalize()
 	}
@@ -104,7 +104,7 @@
 	}
 }
 
-func (m *Machine) execute(c *Command) Result {
+func (m *StateMachine) execute(c *Command) Result {
 	switch c.Kind {
 	case KindApply:
 		return m.apply(c)
@@ -114,8 +114,8 @@
 		return m.rollback(c)
 	case KindImport:
 		return m.importDocument(c)
-	case KindSeats:
-		return m.changeSeats(c.Seats)
+	case KindRegistrations:
+		return m.changeSeats(c.Registrations)
 	case KindDrain:
 		return m.drain(c)
 	default:
@@ -123,9 +123,9 @@
 	}
 }
 
-func (m *Machine) apply(c *Command) Result {
-	if c.Expected != m.version {
-		return m.result(Conflict)
+func (m *StateMachine) apply(c *Command) Result {
+	if c.ExpectedVersion != m.version {
+		return m.result(OutcomeConflict)
 	}
 	if c.Document != nil {
 		return m.install(c, c.Document)
@@ -133,32 +133,32 @@
 	return m.install(c, c.Patch.Apply(m.document))
 }
 
-func (m *Machine) patch(c *Command) Result {
-	newer, ok := m.history.since(c.Expected, m.version)
+func (m *StateMachine) patch(c *Command) Result {
+	newer, ok := m.history.since(c.ExpectedVersion, m.version)
 	if !ok {
-		return m.result(Conflict)
+		return m.result(OutcomeConflict)
 	}
 	for i := range newer {
 		if newer[i].Undo.touches(c.Patch) {
-			return m.result(Conflict)
+			return m.result(OutcomeConflict)
 		}
 	}
 	return m.install(c, c.Patch.Apply(m.document))
 }
 
-func (m *Machine) rollback(c *Command) Result {
-	if c.Expected != m.version {
-		return m.result(Conflict)
+func (m *StateMachine) rollback(c *Command) Result {
+	if c.ExpectedVersion != m.version {
+		return m.result(OutcomeConflict)
 	}
-	earlier, ok := m.At(c.Version)
+	earlier, ok := m.DocumentAt(c.RollbackVersion)
 	if !ok {
-		return m.result(NotFound)
+		return m.result(OutcomeNotFound)
 	}
 	return m.install(c, earlier)
 }
 
 // install makes next the current document, if it is valid.
-func (m *Machine) install(c *Command, next *Document) Result {
+func (m *StateMachine) install(c *Command, next *Document) Result {
 	// Listeners belong to imports; other commands leave them as they are.
 	next.Listeners = m.document.Listeners
 	if problems := next.Validate(); len(problems) > 0 {
@@ -169,16 +169,16 @@
 	m.document = next
 	m.version++
 	m.revision++
-	m.history.add(Entry{
-		Version: m.version, Kind: c.Kind, Author: c.Author, At: c.At, Comment: c.Comment, Undo: undo,
+	m.history.add(HistoryEntry{
+		Version: m.version, Kind: c.Kind, Author: c.Author, ProposedAt: c.ProposedAt, Comment: c.Comment, Undo: undo,
 	})
-	return m.result(Accepted)
+	return m.result(OutcomeAccepted)
 }
 
 // assignIDs gives services that exist their ID and new ones the next ID. It
 // writes only what differs, since next shares unchanged items with documents
 // that readers hold. Both lists are sorted by name.
-func (m *Machine) assignIDs(next *Document) {
+func (m *StateMachine) assignIDs(next *Document) {
 	old := m.document.Services
 	for i := range next.Services {
 		s := &next.Services[i]
@@ -195,43 +195,43 @@
 	}
 }
 
-func (m *Machine) findDrain(backendServer string) (int, bool) {
+func (m *StateMachine) findDrain(backendServer string) (int, bool) {
 	return slices.BinarySearchFunc(m.drains, backendServer, func(d Drain, name string) int {
 		return cmp.Compare(d.BackendServer, name)
 	})
 }
 
 // drain adds a drain. One that exists stays as it is and is accepted.
-func (m *Machine) drain(c *Command) Result {
+func (m *StateMachine) drain(c *Command) Result {
 	i, ok := m.findDrain(c.BackendServer)
 	if ok {
-		return m.result(Accepted)
+		return m.result(OutcomeAccepted)
 	}
 	if len(m.drains) >= maxDrains {
 		return m.invalid(Problem{Section: "command", Key: "backend_server", Message: "too many drains; cancel those that have ended"})
 	}
-	drain := Drain{BackendServer: c.BackendServer, Author: c.Author, At: c.At, Comment: c.Comment}
+	drain := Drain{BackendServer: c.BackendServer, Author: c.Author, ProposedAt: c.ProposedAt, Comment: c.Comment}
 	m.drains = slices.Insert(slices.Clone(m.drains), i, drain)
 	m.revision++
-	return m.result(Accepted)
+	return m.result(OutcomeAccepted)
 }
 
-func (m *Machine) cancelDrain(c *Command) Result {
+func (m *StateMachine) cancelDrain(c *Command) Result {
 	i, ok := m.findDrain(c.BackendServer)
 	if !ok {
-		return m.result(NotFound)
+		return m.result(OutcomeNotFound)
 	}
 	m.drains = slices.Delete(slices.Clone(m.drains), i, i+1)
 	m.revision++
-	return m.result(Accepted)
+	return m.result(OutcomeAccepted)
 }
 
-func (m *Machine) result(outcome Outcome) Result {
+func (m *StateMachine) result(outcome Outcome) Result {
 	return Result{Outcome: outcome, Version: m.version, Revision: m.revision}
 }
 
-func (m *Machine) invalid(problems ...Problem) Result {
-	result := m.result(Invalid)
+func (m *StateMachine) invalid(problems ...Problem) Result {
+	result := m.result(OutcomeInvalid)
 	result.Problems = problems[:min(len(problems), maxProblems)]
 	return result
 }
--- a/core/fleet/patch.go
+++ b/core/fleet/patch.go
@@ -98,7 +98,7 @@
 	return a.Name == b.Name && a.Mode == b.Mode && a.Share == b.Share &&
 		slices.Equal(a.Addresses, b.Addresses) &&
 		slices.Equal(a.Classes, b.Classes) &&
-		slices.Equal(a.Repeatable, b.Repeatable)
+		slices.Equal(a.RepeatableRoutes, b.RepeatableRoutes)
 }
 
 func equalExceptions(a, b *Exception) bool { return *a == *b }
--- a/core/fleet/resolver.go
+++ b/core/fleet/resolver.go
@@ -30,11 +30,11 @@
 	return r
 }
 
-// Expired returns the number of exceptions that had ended.
-func (r *Resolver) Expired() int { return r.expired }
+// ExpiredCount returns the number of exceptions that had ended.
+func (r *Resolver) ExpiredCount() int { return r.expired }
 
-// Effective returns the settings for a target.
-func (r *Resolver) Effective(target Target) Settings {
+// EffectiveSettings returns the settings for a target.
+func (r *Resolver) EffectiveSettings(target Target) Settings {
 	settings := r.defaults
 	for _, scope := range anyScope {
 		for _, e := range r.exceptions[resolverKey{scope, target.name(scope)}] {
--- a/core/fleet/seats.go
+++ b/core/fleet/seats.go
@@ -7,33 +7,33 @@
 	"slices"
 )
 
-// SeatChange adds and removes seats.
-type SeatChange struct {
-	Taken []netip.AddrPort `cbor:"1,keyasint,omitempty" json:"taken,omitempty"`
-	Left  []netip.AddrPort `cbor:"2,keyasint,omitempty" json:"left,omitempty"`
+// RegistrationChange adds and removes seats.
+type RegistrationChange struct {
+	Added   []netip.AddrPort `cbor:"1,keyasint,omitempty" json:"taken,omitempty"`
+	Removed []netip.AddrPort `cbor:"2,keyasint,omitempty" json:"left,omitempty"`
 }
 
 // maxSeats bounds the seats of a fleet.
 const maxSeats = 1 << 18
 
-// Seats returns the addresses of all agents whose backend servers may hold flows,
+// RegisteredAgents returns the addresses of all agents whose backend servers may hold flows,
 // in order. A new leader has heard of every backend server once all seats have
 // announced themselves.
-func (m *Machine) Seats() []netip.AddrPort {
+func (m *StateMachine) RegisteredAgents() []netip.AddrPort {
 	return slices.SortedFunc(maps.Keys(m.seats), func(a, b netip.AddrPort) int { return a.Compare(b) })
 }
 
 // changeSeats neither makes a version nor a revision: operators see no change.
-func (m *Machine) changeSeats(c *SeatChange) Result {
-	for _, addr := range c.Left {
+func (m *StateMachine) changeSeats(c *RegistrationChange) Result {
+	for _, addr := range c.Removed {
 		delete(m.seats, addr)
 	}
-	for _, addr := range c.Taken {
+	for _, addr := range c.Added {
 		if len(m.seats) < maxSeats {
 			m.seats[addr] = struct{}{}
 		}
 	}
-	return m.result(Accepted)
+	return m.result(OutcomeAccepted)
 }
 
 func newSeats(list []netip.AddrPort) map[netip.AddrPort]struct{} {
@@ -45,13 +45,13 @@
 }
 
 // problems returns what is wrong with the change.
-func (c *SeatChange) problems() []Problem {
-	for _, addr := range slices.Concat(c.Taken, c.Left) {
+func (c *RegistrationChange) problems() []Problem {
+	for _, addr := range slices.Concat(c.Added, c.Removed) {
 		if !addr.IsValid() {
 			return []Problem{{Section: "command", Key: "seats", Message: "a seat is no address"}}
 		}
 	}
-	if cmp.Or(len(c.Taken), len(c.Left)) == 0 {
+	if cmp.Or(len(c.Added), len(c.Removed)) == 0 {
 		return []Problem{{Section: "command", Key: "seats", Message: "no seat changes"}}
 	}
 	return nil
--- a/core/fleet/settings.go
+++ b/core/fleet/settings.go
@@ -12,11 +12,11 @@
 
 var namespace = errorx.NewNamespace("fleet")
 
-// ErrValue is the type for values that do not fit their key.
-var ErrValue = namespace.NewType("value").ApplyModifiers(errorx.TypeModifierOmitStackTrace)
+// ErrInvalidValue is the type for values that do not fit their key.
+var ErrInvalidValue = namespace.NewType("value").ApplyModifiers(errorx.TypeModifierOmitStackTrace)
 
-// Key names one setting.
-type Key string
+// SettingKey names one setting.
+type SettingKey string
 
 // Settings are the fleet-wide defaults, or what is in force for one target.
 type Settings struct {
@@ -26,33 +26,33 @@
 	QueueTime time.Duration `cbor:"2,keyasint" json:"queue_time"`
 	// IdleTimeout ends a flow without packets.
 	IdleTimeout time.Duration `cbor:"3,keyasint" json:"idle_timeout"`
-	// Warming is how long the weight of a new backend server ramps up.
-	Warming time.Duration `cbor:"4,keyasint" json:"warming"`
+	// WarmupDuration is how long the weight of a new backend server ramps up.
+	WarmupDuration time.Duration `cbor:"4,keyasint" json:"warming"`
 	// DrainLimit ends the flows that a draining backend server still holds.
 	DrainLimit time.Duration `cbor:"5,keyasint" json:"drain_limit"`
-	// Lease is how long an announcement holds without renewal.
-	Lease time.Duration `cbor:"6,keyasint" json:"lease"`
+	// LeaseDuration is how long an announcement holds without renewal.
+	LeaseDuration time.Duration `cbor:"6,keyasint" json:"lease"`
 	// Weight is the share of new flows, relative to view.FullWeight.
 	Weight uint32 `cbor:"7,keyasint" json:"weight"`
-	// RetryBudget is the most load that retries may add, in percent.
-	RetryBudget uint32 `cbor:"8,keyasint" json:"retry_budget"`
-	// MaxEjected is the largest part of a service's backend servers that
+	// RetryBudgetPercent is the most load that retries may add, in percent.
+	RetryBudgetPercent uint32 `cbor:"8,keyasint" json:"retry_budget"`
+	// MaxEjectedPercent is the largest part of a service's backend servers that
 	// health may take out at once, in percent.
-	MaxEjected uint32 `cbor:"9,keyasint" json:"max_ejected"`
+	MaxEjectedPercent uint32 `cbor:"9,keyasint" json:"max_ejected"`
 }
 
 // DefaultSettings returns the settings of a fleet whose operators set none.
 func DefaultSettings() Settings {
 	return Settings{
-		Deadline:    10 * time.Second,
-		QueueTime:   500 * time.Millisecond,
-		IdleTimeout: 24 * time.Hour,
-		Warming:     20 * time.Second,
-		DrainLimit:  24 * time.Hour,
-		Lease:       3 * time.Second,
-		Weight:      100,
-		RetryBudget: 10,
-		MaxEjected:  50,
+		Deadline:           10 * time.Second,
+		QueueTime:          500 * time.Millisecond,
+		IdleTimeout:        24 * time.Hour,
+		WarmupDuration:     20 * time.Second,
+		DrainLimit:         24 * time.Hour,
+		LeaseDuration:      3 * time.Second,
+		Weight:             100,
+		RetryBudgetPercent: 10,
+		MaxEjectedPercent:  50,
 	}
 }
 
@@ -68,7 +68,7 @@
 // tunable describes one key of Settings. low and high are in the unit of the
 // field: nanoseconds, a count or percent.
 type tunable struct {
-	key       Key
+	key       SettingKey
 	unit      unit
 	low, high int64
 	// scopes are what exceptions may set the key for; none where the key is
@@ -101,7 +101,7 @@
 	},
 	{
 		key: "warming", low: int64(time.Second), high: int64(day),
-		duration: func(s *Settings) *time.Duration { return &s.Warming },
+		duration: func(s *Settings) *time.Duration { return &s.WarmupDuration },
 	},
 	{
 		key: "drain_limit", low: int64(time.Second), high: int64(30 * day), scopes: serviceScope,
@@ -109,7 +109,7 @@
 	},
 	{
 		key: "lease", low: int64(2 * time.Second), high: int64(5 * time.Minute),
-		duration: func(s *Settings) *time.Duration { return &s.Lease },
+		duration: func(s *Settings) *time.Duration { return &s.LeaseDuration },
 	},
 	{
 		key: "weight", unit: unitCount, low: 0, high: 10_000, scopes: anyScope,
@@ -117,24 +117,24 @@
 	},
 	{
 		key: "retry_budget", unit: unitPercent, low: 0, high: 100, scopes: serviceScope,
-		number: func(s *Settings) *uint32 { return &s.RetryBudget },
+		number: func(s *Settings) *uint32 { return &s.RetryBudgetPercent },
 	},
 	{
 		key: "max_ejected", unit: unitPercent, low: 1, high: 100,
-		number: func(s *Settings) *uint32 { return &s.MaxEjected },
+		number: func(s *Settings) *uint32 { return &s.MaxEjectedPercent },
 	},
 }
 
-// Keys lists every key in a fixed order.
-func Keys() []Key {
-	keys := make([]Key, len(tunables))
+// SettingKeys lists every key in a fixed order.
+func SettingKeys() []SettingKey {
+	keys := make([]SettingKey, len(tunables))
 	for i := range tunables {
 		keys[i] = tunables[i].key
 	}
 	return keys
 }
 
-func findTunable(key Key) *tunable {
+func findTunable(key SettingKey) *tunable {
 	i := slices.IndexFunc(tunables, func(t tunable) bool { return t.key == key })
 	if i < 0 {
 		return nil
@@ -144,10 +144,10 @@
 
 // Set parses value and sets key to it. Durations are written as 250ms, 30s or
 // 24h, percentages as 10%. On an error s stays as it was.
-func (s *Settings) Set(key Key, value string) error {
+func (s *Settings) Set(key SettingKey, value string) error {
 	t := findTunable(key)
 	if t == nil {
-		return ErrValue.New("unknown key %q", key)
+		return ErrInvalidValue.New("unknown key %q", key)
 	}
 	n, err := t.parse(value)
 	if err != nil {
@@ -158,7 +158,7 @@
 }
 
 // Get returns the value of key as Set takes it, or "" for an unknown key.
-func (s *Settings) Get(key Key) string {
+func (s *Settings) Get(key SettingKey) string {
 	t := findTunable(key)
 	if t == nil {
 		return ""
@@ -175,18 +175,18 @@
 		d, err = time.ParseDuration(value)
 		n = int64(d)
 		if err != nil {
-			return 0, ErrValue.New("%q is not a duration such as 250ms, 30s or 24h", value)
+			return 0, ErrInvalidValue.New("%q is not a duration such as 250ms, 30s or 24h", value)
 		}
 	case unitCount:
 		n, err = strconv.ParseInt(value, 10, 64)
 		if err != nil {
-			return 0, ErrValue.New("%q is not a whole number", value)
+			return 0, ErrInvalidValue.New("%q is not a whole number", value)
 		}
 	case unitPercent:
 		digits, ok := strings.CutSuffix(value, "%")
 		n, err = strconv.ParseInt(digits, 10, 64)
 		if err != nil || !ok {
-			return 0, ErrValue.New("%q is not a whole percentage such as 10%%", value)
+			return 0, ErrInvalidValue.New("%q is not a whole percentage such as 10%%", value)
 		}
 	}
 	return n, t.check(n)
@@ -194,7 +194,7 @@
 
 func (t *tunable) check(n int64) error {
 	if n < t.low || n > t.high {
-		return ErrValue.New("%s is outside %s to %s", t.format(n), t.format(t.low), t.format(t.high))
+		return ErrInvalidValue.New("%s is outside %s to %s", t.format(n), t.format(t.low), t.format(t.high))
 	}
 	return nil
 }
@@ -228,8 +228,8 @@
 // Share is a part of a whole, in millionths.
 type Share uint32
 
-// Whole is all of it.
-const Whole Share = 1_000_000
+// FullShare is all of it.
+const FullShare Share = 1_000_000
 
 // shareDigits is the number of decimals of a percentage that a Share keeps.
 const shareDigits = 4
@@ -239,22 +239,22 @@
 	digits, ok := strings.CutSuffix(text, "%")
 	whole, fraction, _ := strings.Cut(digits, ".")
 	if !ok || len(fraction) > shareDigits {
-		return 0, ErrValue.New("%q is not a percentage such as 40%% or 0.5%%", text)
+		return 0, ErrInvalidValue.New("%q is not a percentage such as 40%% or 0.5%%", text)
 	}
 	padded := fraction + strings.Repeat("0", shareDigits-len(fraction))
 	n, err := strconv.ParseUint(whole+padded, 10, 32)
 	if err != nil || whole == "" {
-		return 0, ErrValue.New("%q is not a percentage such as 40%% or 0.5%%", text)
+		return 0, ErrInvalidValue.New("%q is not a percentage such as 40%% or 0.5%%", text)
 	}
-	if Share(n) > Whole {
-		return 0, ErrValue.New("%s is more than 100%%", text)
+	if Share(n) > FullShare {
+		return 0, ErrInvalidValue.New("%s is more than 100%%", text)
 	}
 	return Share(n), nil
 }
 
 // String formats the share as ParseShare takes it.
 func (s Share) String() string {
-	const perPercent = uint32(Whole) / 100
+	const perPercent = uint32(FullShare) / 100
 	text := fmt.Sprintf("%d.%0*d", uint32(s)/perPercent, shareDigits, uint32(s)%perPercent)
 	return strings.TrimRight(strings.TrimRight(text, "0"), ".") + "%"
 }
--- a/core/fleet/validate.go
+++ b/core/fleet/validate.go
@@ -29,9 +29,9 @@
 
 // Sections of problems and of the fleet file.
 const (
-	SectionDefaults = "defaults"
-	ServicePrefix   = "service."
-	ExceptionPrefix = "exception."
+	SectionDefaults        = "defaults"
+	ServiceSectionPrefix   = "service."
+	ExceptionSectionPrefix = "exception."
 )
 
 // Limits of a document.
@@ -73,7 +73,7 @@
 	for i := range tunables {
 		t := &tunables[i]
 		if err := t.check(t.load(&v.document.Defaults)); err != nil {
-			v.add(string(t.key), "%s", Message(err))
+			v.add(string(t.key), "%s", ErrorMessage(err))
 		}
 	}
 }
@@ -88,13 +88,13 @@
 	over := false
 	for i := range services {
 		s := &services[i]
-		v.prefix, v.item = ServicePrefix, s.Name
+		v.prefix, v.item = ServiceSectionPrefix, s.Name
 		if i > 0 && services[i-1].Name >= s.Name {
 			v.add("", "duplicate service, or services not sorted by name")
 		}
 		v.service(s)
 		reserved += uint64(s.Share)
-		if !over && reserved > uint64(Whole) {
+		if !over && reserved > uint64(FullShare) {
 			over = true
 			v.add("share", "shares of the services up to this one exceed 100%%")
 		}
@@ -113,9 +113,9 @@
 		v.add("addresses", "%d addresses are not between 1 and %d", len(s.Addresses), maxAddresses)
 	}
 	for _, addr := range s.Addresses {
-		v.address("addresses", ServicePrefix+s.Name, addr)
+		v.address("addresses", ServiceSectionPrefix+s.Name, addr)
 	}
-	if s.Share > Whole {
+	if s.Share > FullShare {
 		v.add("share", "%s is more than 100%%", s.Share)
 	}
 	v.classes(s.Classes)
@@ -152,26 +152,26 @@
 		}
 		reserved += uint64(c.Share)
 	}
-	if reserved > uint64(Whole) {
+	if reserved > uint64(FullShare) {
 		v.add("classes", "shares of the classes exceed 100%%")
 	}
 }
 
 func (v *validator) routes(s *Service) {
-	if len(s.Repeatable) > 0 && s.Mode != ModeRequest {
+	if len(s.RepeatableRoutes) > 0 && s.Mode != ModeRequest {
 		v.add("repeatable", "only services of mode request have repeatable requests")
 	}
-	if len(s.Repeatable) > maxRoutes {
-		v.add("repeatable", "%d routes are more than %d", len(s.Repeatable), maxRoutes)
+	if len(s.RepeatableRoutes) > maxRoutes {
+		v.add("repeatable", "%d routes are more than %d", len(s.RepeatableRoutes), maxRoutes)
 	}
-	for i, route := range s.Repeatable {
+	for i, route := range s.RepeatableRoutes {
 		if !validMethod(route.Method) {
 			v.add("repeatable", "%q is not an upper-case method", route.Method)
 		}
 		if !validPath(route.Prefix) {
 			v.add("repeatable", "%q is not a path without spaces, commas and control characters", route.Prefix)
 		}
-		if slices.Contains(s.Repeatable[:i], route) {
+		if slices.Contains(s.RepeatableRoutes[:i], route) {
 			v.add("repeatable", "duplicate route %s %s", route.Method, route.Prefix)
 		}
 	}
@@ -196,7 +196,7 @@
 	taken := make(map[override]string, len(exceptions))
 	for i := range exceptions {
 		e := &exceptions[i]
-		v.prefix, v.item = ExceptionPrefix, e.Name
+		v.prefix, v.item = ExceptionSectionPrefix, e.Name
 		if i > 0 && exceptions[i-1].Name >= e.Name {
 			v.add("", "duplicate exception, or exceptions not sorted by name")
 		}
@@ -214,7 +214,7 @@
 type override struct {
 	scope  Scope
 	target string
-	key    Key
+	key    SettingKey
 }
 
 func (v *validator) exception(e *Exception) {
@@ -237,7 +237,7 @@
 		v.add("scope", "%s cannot be set for one %s", e.Key, e.Scope)
 	}
 	if _, err := t.parse(e.Value); err != nil {
-		v.add("value", "%s", Message(err))
+		v.add("value", "%s", ErrorMessage(err))
 	}
 }
 
@@ -286,8 +286,8 @@
 	return strings.Join(names, ", ")
 }
 
-// Message returns the text of an error of this package without its type.
-func Message(err error) string {
+// ErrorMessage returns the text of an error of this package without its type.
+func ErrorMessage(err error) string {
 	if typed := errorx.Cast(err); typed != nil {
 		return typed.Message()
 	}
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -33,7 +33,7 @@
 	// Propose runs a command. An error leaves its result unknown.
 	Propose(ctx context.Context, c fleet.Command) (fleet.Result, error)
 	// Read calls read with a state that holds every acknowledged command.
-	Read(ctx context.Context, read func(*fleet.Machine)) error
+	Read(ctx context.Context, read func(*fleet.StateMachine)) error
 }
 
 // Dumper writes the state of the process as JSON.
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -76,7 +76,7 @@
 			if !tt.ok {
 				return
 			}
-			is.Equal(result.Outcome, fleet.Accepted)
+			is.Equal(result.Outcome, fleet.OutcomeAccepted)
 			entries, err := client.History(context.Background())
 			is.NoErr(err)
 			is.Equal(entries[0].Author, "operator") // the certificate's name, not the claimed one
@@ -152,23 +152,23 @@
 	_, err := client.Propose(ctx, wide)
 	is.NoErr(err)
 	change := wide
-	change.RequestID, change.Expected = "b", 1
+	change.RequestID, change.ExpectedVersion = "b", 1
 	change.Document.Services[7].Share = 1_000
 	for range 2 { // the second one is a resend
 		result, err := client.Propose(ctx, change)
 		is.NoErr(err)
-		is.Equal(result, fleet.Result{Outcome: fleet.Accepted, Version: 2, Revision: 2})
+		is.Equal(result, fleet.Result{Outcome: fleet.OutcomeAccepted, Version: 2, Revision: 2})
 		is.True(store.last.Document == nil)
 		is.Equal(store.last.Patch.Size(), 1)
 	}
 	change.RequestID = "c"
 	result, err := client.Propose(ctx, change)
 	is.NoErr(err)
-	is.Equal(result.Outcome, fleet.Conflict)
-	change.Expected = 9
+	is.Equal(result.Outcome, fleet.OutcomeConflict)
+	change.ExpectedVersion = 9
 	result, err = client.Propose(ctx, change)
 	is.NoErr(err)
-	is.Equal(result, fleet.Result{Outcome: fleet.Conflict, Version: 2, Revision: 2})
+	is.Equal(result, fleet.Result{Outcome: fleet.OutcomeConflict, Version: 2, Revision: 2})
 	current, err := client.Current(ctx)
 	is.NoErr(err)
 	is.Equal(len(current.Document.Services), 100)
--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -99,8 +99,8 @@
 }
 
 // History returns the versions that are kept, the oldest first.
-func (c *Client) History(ctx context.Context) ([]fleet.Entry, error) {
-	var out []fleet.Entry
+func (c *Client) History(ctx context.Context) ([]fleet.HistoryEntry, error) {
+	var out []fleet.HistoryEntry
 	return out, c.get(ctx, pathHistory, &out)
 }
 
--- a/internal/admin/handler.go
+++ b/internal/admin/handler.go
@@ -73,11 +73,11 @@
 }
 
 var statusOf = map[fleet.Outcome]int{
-	fleet.Accepted: http.StatusOK,
-	fleet.Conflict: http.StatusConflict,
-	fleet.Reused:   http.StatusConflict,
-	fleet.NotFound: http.StatusNotFound,
-	fleet.Invalid:  http.StatusUnprocessableEntity,
+	fleet.OutcomeAccepted:        http.StatusOK,
+	fleet.OutcomeConflict:        http.StatusConflict,
+	fleet.OutcomeRequestIDReused: http.StatusConflict,
+	fleet.OutcomeNotFound:        http.StatusNotFound,
+	fleet.OutcomeInvalid:         http.StatusUnprocessableEntity,
 }
 
 func (h *handler) command(w http.ResponseWriter, r *http.Request) {
@@ -86,7 +86,7 @@
 		return
 	}
 	c.Author = author(r, c.Author)
-	c.At = h.options.Now()
+	c.ProposedAt = h.options.Now()
 	result, err := h.propose(r.Context(), c)
 	if err != nil {
 		fail(w, err)
@@ -108,9 +108,9 @@
 	c.Document.Normalize()
 	var expected *fleet.Document
 	var kept bool
-	conflict := fleet.Result{Outcome: fleet.Conflict}
-	err := h.options.Store.Read(ctx, func(m *fleet.Machine) {
-		expected, kept = m.At(c.Expected)
+	conflict := fleet.Result{Outcome: fleet.OutcomeConflict}
+	err := h.options.Store.Read(ctx, func(m *fleet.StateMachine) {
+		expected, kept = m.DocumentAt(c.ExpectedVersion)
 		conflict.Version, conflict.Revision = m.Version(), m.Revision()
 	})
 	if err != nil || !kept {
@@ -128,12 +128,12 @@
 	if !ok || !h.has(w, h.options.Store != nil) {
 		return
 	}
-	err := h.options.Store.Read(r.Context(), func(m *fleet.Machine) {
+	err := h.options.Store.Read(r.Context(), func(m *fleet.StateMachine) {
 		if !r.URL.Query().Has("version") {
 			version = m.Version()
 		}
 		out.Version, out.Revision = version, m.Revision()
-		out.Document, found = m.At(version)
+		out.Document, found = m.DocumentAt(version)
 	})
 	switch {
 	case err != nil:
@@ -149,8 +149,8 @@
 	if !h.has(w, h.options.Store != nil) {
 		return
 	}
-	entries := []fleet.Entry{}
-	err := h.options.Store.Read(r.Context(), func(m *fleet.Machine) { entries = append(entries, m.History()...) })
+	entries := []fleet.HistoryEntry{}
+	err := h.options.Store.Read(r.Context(), func(m *fleet.StateMachine) { entries = append(entries, m.History()...) })
 	if err != nil {
 		fail(w, err)
 		return
@@ -163,10 +163,10 @@
 		return
 	}
 	status := Status{Process: h.options.Name, Time: h.options.Now()}
-	err := h.options.Store.Read(r.Context(), func(m *fleet.Machine) {
+	err := h.options.Store.Read(r.Context(), func(m *fleet.StateMachine) {
 		status.Version, status.Revision = m.Version(), m.Revision()
 		status.Services = len(m.Document().Services)
-		status.Expired = m.Document().Expired(status.Time)
+		status.Expired = m.Document().ExpiredExceptions(status.Time)
 		status.Drains = m.Drains()
 	})
 	if err != nil {
--- a/internal/ctl/config.go
+++ b/internal/ctl/config.go
@@ -119,7 +119,7 @@
 			if err != nil {
 				return err
 			}
-			return a.run(ctx, client, c, fleet.Command{Kind: fleet.KindRollback, Version: version})
+			return a.run(ctx, client, c, fleet.Command{Kind: fleet.KindRollback, RollbackVersion: version})
 		}),
 	}
 }
@@ -147,11 +147,11 @@
 func (a *app) expect(ctx context.Context, client *admin.Client, c *change, command *fleet.Command) error {
 	if c.expect != "" {
 		var err error
-		command.Expected, err = parseVersion(c.expect)
+		command.ExpectedVersion, err = parseVersion(c.expect)
 		return err
 	}
 	current, err := client.Current(ctx)
-	command.Expected = current.Version
+	command.ExpectedVersion = current.Version
 	return err
 }
 
@@ -166,16 +166,16 @@
 	result, err := client.Propose(ctx, command)
 	if err != nil {
 		return result, errRefused.New("%s\nthe command may still take effect; repeat it with --request-id %s --expect %d to learn its result",
-			err, command.RequestID, command.Expected)
+			err, command.RequestID, command.ExpectedVersion)
 	}
 	switch result.Outcome {
-	case fleet.Accepted:
+	case fleet.OutcomeAccepted:
 		return result, nil
-	case fleet.Conflict:
-		return result, errConflict.New("expected version %d, but version %d is in force", command.Expected, result.Version)
-	case fleet.Reused:
+	case fleet.OutcomeConflict:
+		return result, errConflict.New("expected version %d, but version %d is in force", command.ExpectedVersion, result.Version)
+	case fleet.OutcomeRequestIDReused:
 		return result, errRefused.New("request ID %q was used for another command", command.RequestID)
-	case fleet.NotFound:
+	case fleet.OutcomeNotFound:
 		return result, errRefused.New("%s: there is no such version or drain", command.Kind)
 	default:
 		return result, errRefused.New("%s is invalid:\n%s", command.Kind, problemLines(result.Problems))
@@ -272,7 +272,7 @@
 			rows := [][]string{{"VERSION", "TIME", "AUTHOR", "KIND", "COMMENT"}}
 			for _, e := range entries {
 				rows = append(rows, []string{
-					strconv.FormatUint(e.Version, 10), e.At.Format(time.RFC3339), e.Author, e.Kind.String(), e.Comment,
+					strconv.FormatUint(e.Version, 10), e.ProposedAt.Format(time.RFC3339), e.Author, e.Kind.String(), e.Comment,
 				})
 			}
 			return a.table(rows)
--- a/internal/ctl/operate.go
+++ b/internal/ctl/operate.go
@@ -71,13 +71,13 @@
 		a.out("  not on %s: it has %s in force%s", d.Name, d.InForce, departed(d))
 	}
 	for _, e := range s.Expired {
-		a.out("exception %q expired %s: %s", e.Name, e.Expires.Format(time.RFC3339), e.Reason)
+		a.out("exception %q expired %s: %s", e.Name, e.ExpiresAt.Format(time.RFC3339), e.Reason)
 	}
 	if !s.CertificateEnds.IsZero() {
 		a.out("certificate of %s ends %s", s.Process, s.CertificateEnds.Format(time.RFC3339))
 	}
 	for _, d := range s.Drains {
-		a.out("drain of %s since %s by %s %s", d.BackendServer, d.At.Format(time.RFC3339), d.Author, d.Comment)
+		a.out("drain of %s since %s by %s %s", d.BackendServer, d.ProposedAt.Format(time.RFC3339), d.Author, d.Comment)
 	}
 	if err := a.members(s.Members); err != nil {
 		return err
--- a/internal/embedded/embedded.go
+++ b/internal/embedded/embedded.go
@@ -115,10 +115,10 @@
 		Defaults: fleet.DefaultSettings(),
 		Services: []fleet.Service{
 			{
-				Name:       deskService,
-				Mode:       fleet.ModeRequest,
-				Addresses:  []netip.AddrPort{deskAddr},
-				Repeatable: []fleet.Route{{Method: http.MethodGet, Prefix: "/"}},
+				Name:             deskService,
+				Mode:             fleet.ModeRequest,
+				Addresses:        []netip.AddrPort{deskAddr},
+				RepeatableRoutes: []fleet.Route{{Method: http.MethodGet, Prefix: "/"}},
 			},
 			{Name: catalogueService, Mode: fleet.ModePacket, Addresses: []netip.AddrPort{catalogueAddr}},
 		},
--- a/internal/fleetfile/fleetfile.go
+++ b/internal/fleetfile/fleetfile.go
@@ -56,8 +56,8 @@
 
 // deleteSection adds the removal of a section of current to patch.
 func (p *parser) deleteSection(patch *fleet.Patch, section string, current *fleet.Document) {
-	service, isService := strings.CutPrefix(section, fleet.ServicePrefix)
-	exception, isException := strings.CutPrefix(section, fleet.ExceptionPrefix)
+	service, isService := strings.CutPrefix(section, fleet.ServiceSectionPrefix)
+	exception, isException := strings.CutPrefix(section, fleet.ExceptionSectionPrefix)
 	named := func(e fleet.Exception) bool { return e.Name == exception }
 	switch {
 	case isService && current.Service(service) != nil:
@@ -96,8 +96,8 @@
 
 func (p *parser) section(s *inifile.Section) {
 	r := inifile.NewReader(p.file, s, &p.found)
-	service, isService := strings.CutPrefix(s.Name, fleet.ServicePrefix)
-	exception, isException := strings.CutPrefix(s.Name, fleet.ExceptionPrefix)
+	service, isService := strings.CutPrefix(s.Name, fleet.ServiceSectionPrefix)
+	exception, isException := strings.CutPrefix(s.Name, fleet.ExceptionSectionPrefix)
 	switch {
 	case s.Name == fleet.SectionDefaults:
 		p.defaults(r)
@@ -113,13 +113,13 @@
 }
 
 func (p *parser) defaults(r *inifile.Reader) {
-	for _, key := range fleet.Keys() {
+	for _, key := range fleet.SettingKeys() {
 		value := r.String(string(key), "")
 		if !r.Has(string(key)) {
 			continue
 		}
 		if err := p.document.Defaults.Set(key, value); err != nil {
-			r.Fail(string(key), "%s", fleet.Message(err))
+			r.Fail(string(key), "%s", fleet.ErrorMessage(err))
 		}
 	}
 }
@@ -143,7 +143,7 @@
 	}
 	for _, item := range r.List("repeatable") {
 		method, prefix, _ := strings.Cut(item, " ")
-		s.Repeatable = append(s.Repeatable, fleet.Route{Method: method, Prefix: strings.TrimSpace(prefix)})
+		s.RepeatableRoutes = append(s.RepeatableRoutes, fleet.Route{Method: method, Prefix: strings.TrimSpace(prefix)})
 	}
 	p.document.Services = append(p.document.Services, s)
 }
@@ -151,7 +151,7 @@
 func (p *parser) share(r *inifile.Reader, key, text string) fleet.Share {
 	share, err := fleet.ParseShare(text)
 	if err != nil {
-		r.Fail(key, "%s", fleet.Message(err))
+		r.Fail(key, "%s", fleet.ErrorMessage(err))
 	}
 	return share
 }
@@ -179,7 +179,7 @@
 		Name:   name,
 		Scope:  fleet.Scope(p.required(r, "scope")),
 		Target: p.required(r, "target"),
-		Key:    fleet.Key(p.required(r, "key")),
+		Key:    fleet.SettingKey(p.required(r, "key")),
 		Value:  p.required(r, "value"),
 		Reason: r.String("reason", ""),
 	}
@@ -188,7 +188,7 @@
 		if err != nil {
 			r.Fail("expires", "%q is not a time such as 2026-06-01T00:00:00Z", text)
 		}
-		e.Expires = expires
+		e.ExpiresAt = expires
 	}
 	p.document.Exceptions = append(p.document.Exceptions, e)
 }
--- a/internal/fleetfile/format.go
+++ b/internal/fleetfile/format.go
@@ -14,7 +14,7 @@
 func Format(d *fleet.Document) []byte {
 	w := &writer{}
 	w.section(fleet.SectionDefaults)
-	for _, key := range fleet.Keys() {
+	for _, key := range fleet.SettingKeys() {
 		w.key(string(key), d.Defaults.Get(key))
 	}
 	for i := range d.Services {
@@ -47,7 +47,7 @@
 }
 
 func (w *writer) service(s *fleet.Service) {
-	w.section(fleet.ServicePrefix + s.Name)
+	w.section(fleet.ServiceSectionPrefix + s.Name)
 	w.key("mode", string(s.Mode))
 	var addresses, classes, routes []string
 	for _, addr := range s.Addresses {
@@ -56,7 +56,7 @@
 	for _, c := range s.Classes {
 		classes = append(classes, fmt.Sprintf("%s %d-%d %s", c.Name, c.MostUrgent, c.LeastUrgent, c.Share))
 	}
-	for _, route := range s.Repeatable {
+	for _, route := range s.RepeatableRoutes {
 		routes = append(routes, route.Method+" "+route.Prefix)
 	}
 	w.list("addresses", addresses)
@@ -68,13 +68,13 @@
 }
 
 func (w *writer) exception(e *fleet.Exception) {
-	w.section(fleet.ExceptionPrefix + e.Name)
+	w.section(fleet.ExceptionSectionPrefix + e.Name)
 	w.key("scope", string(e.Scope))
 	w.key("target", e.Target)
 	w.key("key", string(e.Key))
 	w.key("value", e.Value)
 	w.key("reason", e.Reason)
-	if !e.Expires.IsZero() {
-		w.key("expires", e.Expires.Format(time.RFC3339))
+	if !e.ExpiresAt.IsZero() {
+		w.key("expires", e.ExpiresAt.Format(time.RFC3339))
 	}
 }
--- a/internal/fleetstore/fleetstore_test.go
+++ b/internal/fleetstore/fleetstore_test.go
@@ -16,19 +16,19 @@
 
 func command(id string, expected uint64) fleet.Command {
 	return fleet.Command{
-		Kind: fleet.KindApply, RequestID: id, Author: "jiwoo", Expected: expected,
-		At: time.Date(2026, 3, 1, 9, 0, 0, 5, time.FixedZone("KST", 9*3600)),
+		Kind: fleet.KindApply, RequestID: id, Author: "jiwoo", ExpectedVersion: expected,
+		ProposedAt: time.Date(2026, 3, 1, 9, 0, 0, 5, time.FixedZone("KST", 9*3600)),
 		Document: &fleet.Document{
 			Defaults: fleet.DefaultSettings(),
 			Services: []fleet.Service{{
 				Name: "order-desk", Mode: fleet.ModeRequest, Share: 400_000,
-				Addresses:  []netip.AddrPort{netip.MustParseAddrPort("10.0.0.1:443"), netip.MustParseAddrPort("[2001:db8::1]:443")},
-				Classes:    []fleet.Class{{Name: "amendment", LeastUrgent: 1, Share: 500_000}},
-				Repeatable: []fleet.Route{{Method: "GET", Prefix: "/"}},
+				Addresses:        []netip.AddrPort{netip.MustParseAddrPort("10.0.0.1:443"), netip.MustParseAddrPort("[2001:db8::1]:443")},
+				Classes:          []fleet.Class{{Name: "amendment", LeastUrgent: 1, Share: 500_000}},
+				RepeatableRoutes: []fleet.Route{{Method: "GET", Prefix: "/"}},
 			}},
 			Exceptions: []fleet.Exception{{
 				Name: "a", Scope: fleet.ScopeZone, Target: "sejong-a", Key: "weight", Value: "40",
-				Reason: "its uplink is under repair", Expires: time.Unix(1_800_000_000, 0),
+				Reason: "its uplink is under repair", ExpiresAt: time.Unix(1_800_000_000, 0),
 			}},
 		},
 	}
@@ -41,7 +41,7 @@
 	changed := machine.Changed()
 	first, err := store.Propose(ctx, command("a", 0))
 	is.NoErr(err)
-	is.Equal(first, fleet.Result{Outcome: fleet.Accepted, Version: 1, Revision: 1})
+	is.Equal(first, fleet.Result{Outcome: fleet.OutcomeAccepted, Version: 1, Revision: 1})
 	<-changed
 
 	snapshot, err := machine.Snapshot()
@@ -51,8 +51,8 @@
 	again, err := restored.Snapshot()
 	is.NoErr(err)
 	is.True(bytes.Equal(snapshot, again))
-	is.NoErr(store.Read(ctx, func(m *fleet.Machine) {
-		restored.Read(func(r *fleet.Machine) {
+	is.NoErr(store.Read(ctx, func(m *fleet.StateMachine) {
+		restored.Read(func(r *fleet.StateMachine) {
 			is.Equal(m.Document(), r.Document())
 			is.Equal(m.History(), r.History())
 		})
@@ -69,10 +69,10 @@
 	m := NewMachine()
 	result, err := DecodeResult(m.Apply(7, []byte{0xff, 0x00}))
 	is.NoErr(err)
-	is.Equal(result.Outcome, fleet.Invalid)
-	m.Read(func(f *fleet.Machine) { is.Equal(f.Index(), uint64(7)) })
+	is.Equal(result.Outcome, fleet.OutcomeInvalid)
+	m.Read(func(f *fleet.StateMachine) { is.Equal(f.Index(), uint64(7)) })
 	is.True(m.Restore([]byte("torn")) != nil)
-	m.Read(func(f *fleet.Machine) { is.Equal(f.Index(), uint64(7)) })
+	m.Read(func(f *fleet.StateMachine) { is.Equal(f.Index(), uint64(7)) })
 }
 
 type lostLog struct{ Local }
--- a/internal/fleetstore/imports.go
+++ b/internal/fleetstore/imports.go
@@ -20,13 +20,13 @@
 // An error of type ErrPropose leaves its result unknown.
 func (i *Imports) Import(ctx context.Context, what fleet.Import, d *fleet.Document) (fleet.Result, error) {
 	return i.store.Propose(ctx, fleet.Command{
-		Kind: fleet.KindImport, At: i.now(), Import: &what, Document: d,
+		Kind: fleet.KindImport, ProposedAt: i.now(), Import: &what, Document: d,
 	})
 }
 
 // Imported returns the import in force, confirmed by a majority.
 func (i *Imports) Imported(ctx context.Context) (fleet.Import, error) {
 	var out fleet.Import
-	err := i.store.Read(ctx, func(m *fleet.Machine) { out = m.Imported() })
+	err := i.store.Read(ctx, func(m *fleet.StateMachine) { out = m.ActiveImport() })
 	return out, err
 }
--- a/internal/fleetstore/machine.go
+++ b/internal/fleetstore/machine.go
@@ -9,7 +9,7 @@
 // Machine is the state machine of a replica. It is safe for concurrent use.
 type Machine struct {
 	mu      sync.RWMutex
-	fleet   *fleet.Machine
+	fleet   *fleet.StateMachine
 	changed chan struct{}
 }
 
@@ -69,7 +69,7 @@
 
 // Read calls read with the state, which read must not keep. What the state
 // returns may be kept.
-func (m *Machine) Read(read func(*fleet.Machine)) {
+func (m *Machine) Read(read func(*fleet.StateMachine)) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	read(m.fleet)
--- a/internal/fleetstore/store.go
+++ b/internal/fleetstore/store.go
@@ -40,7 +40,7 @@
 }
 
 // Read calls read with a state that holds every acknowledged command.
-func (s *Store) Read(ctx context.Context, read func(*fleet.Machine)) error {
+func (s *Store) Read(ctx context.Context, read func(*fleet.StateMachine)) error {
 	if err := s.log.Barrier(ctx); err != nil {
 		return err
 	}
@@ -49,11 +49,11 @@
 }
 
 // Peek calls read with the state as this process has it, which may lag.
-func (s *Store) Peek(read func(*fleet.Machine)) { s.machine.Read(read) }
+func (s *Store) Peek(read func(*fleet.StateMachine)) { s.machine.Read(read) }
 
 // ChangeSeats notes which agents there are.
-func (s *Store) ChangeSeats(ctx context.Context, c fleet.SeatChange) error {
-	_, err := s.Propose(ctx, fleet.Command{Kind: fleet.KindSeats, Seats: &c})
+func (s *Store) ChangeSeats(ctx context.Context, c fleet.RegistrationChange) error {
+	_, err := s.Propose(ctx, fleet.Command{Kind: fleet.KindRegistrations, Registrations: &c})
 	return err
 }
 
--- a/internal/gateway/agent.go
+++ b/internal/gateway/agent.go
@@ -117,7 +117,7 @@
 			MaxBytes:    maxAnswers,
 		}),
 	}
-	a.gate = newGate(o.Now, a.ramp().Slots(a.started, o.Slots), o.Policy.admissionClasses(fleet.Whole, "", agentQueue))
+	a.gate = newGate(o.Now, a.ramp().Slots(a.started, o.Slots), o.Policy.admissionClasses(fleet.FullShare, "", agentQueue))
 	a.claims = newClaims(ctx, o, &a.tasks)
 	a.tasks.Go(func() { a.tick(ctx) })
 	return a
@@ -150,7 +150,7 @@
 		return
 	}
 	a.policy = p
-	a.gate = newGate(a.o.Now, a.ramp().Slots(a.o.Now(), a.o.Slots), p.admissionClasses(fleet.Whole, "", agentQueue))
+	a.gate = newGate(a.o.Now, a.ramp().Slots(a.o.Now(), a.o.Slots), p.admissionClasses(fleet.FullShare, "", agentQueue))
 }
 
 // admission returns the gate in force and the class of an urgency in it.
--- a/internal/gateway/policy.go
+++ b/internal/gateway/policy.go
@@ -34,9 +34,9 @@
 
 // defaultClasses divide a service whose operators set no classes.
 var defaultClasses = []fleet.Class{
-	{Name: "urgent", MostUrgent: 0, LeastUrgent: 2, Share: fleet.Whole / 2},
-	{Name: "normal", MostUrgent: 3, LeastUrgent: 4, Share: fleet.Whole / 4},
-	{Name: "background", MostUrgent: 5, LeastUrgent: 7, Share: fleet.Whole / 4},
+	{Name: "urgent", MostUrgent: 0, LeastUrgent: 2, Share: fleet.FullShare / 2},
+	{Name: "normal", MostUrgent: 3, LeastUrgent: 4, Share: fleet.FullShare / 4},
+	{Name: "background", MostUrgent: 5, LeastUrgent: 7, Share: fleet.FullShare / 4},
 }
 
 // DefaultPolicy returns the policy of a service whose operators set none.
@@ -48,7 +48,7 @@
 	if in == (fleet.Settings{}) {
 		in = fleet.DefaultSettings()
 	}
-	return PolicyOf(&fleet.Service{Share: s.Share, Classes: s.Classes, Repeatable: s.Repeatable}, in)
+	return PolicyOf(&fleet.Service{Share: s.Share, Classes: s.Classes, RepeatableRoutes: s.Repeatable}, in)
 }
 
 const percent = 0.01
@@ -57,11 +57,11 @@
 func PolicyOf(s *fleet.Service, in fleet.Settings) Policy {
 	p := Policy{
 		Classes:    s.Classes,
-		Repeatable: s.Repeatable,
+		Repeatable: s.RepeatableRoutes,
 		Deadline:   in.Deadline,
 		QueueTime:  in.QueueTime,
-		RetryRatio: float64(in.RetryBudget) * percent,
-		MaxEjected: float64(in.MaxEjected) * percent,
+		RetryRatio: float64(in.RetryBudgetPercent) * percent,
+		MaxEjected: float64(in.MaxEjectedPercent) * percent,
 		Share:      s.Share,
 	}
 	if len(p.Classes) == 0 {
@@ -117,7 +117,7 @@
 // without a share of their own split what the others leave.
 func shares(services []Service) []fleet.Share {
 	out := make([]fleet.Share, len(services))
-	left, without := fleet.Whole, fleet.Share(0)
+	left, without := fleet.FullShare, fleet.Share(0)
 	for i := range services {
 		out[i] = services[i].Policy.Share
 		left -= min(left, out[i])
--- a/internal/group/processes_test.go
+++ b/internal/group/processes_test.go
@@ -177,7 +177,7 @@
 // command returns the apply that makes version.
 func command(version uint64) fleet.Command {
 	return fleet.Command{
-		Kind: fleet.KindApply, RequestID: fmt.Sprint("request-", version), Author: "test", Expected: version - 1,
+		Kind: fleet.KindApply, RequestID: fmt.Sprint("request-", version), Author: "test", ExpectedVersion: version - 1,
 		Document: &fleet.Document{Defaults: fleet.DefaultSettings(), Services: []fleet.Service{{
 			Name: "desk", Mode: fleet.ModePacket, Share: fleet.Share(version),
 			Addresses: []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:9")},
@@ -192,7 +192,7 @@
 		s.version++
 		c := command(s.version)
 		result := s.propose(c)
-		if result.Outcome != fleet.Accepted || result.Version != s.version {
+		if result.Outcome != fleet.OutcomeAccepted || result.Version != s.version {
 			s.t.Fatalf("version %d: %+v", s.version, result)
 		}
 		s.answers[c.RequestID] = result
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -104,12 +104,12 @@
 // putInForce applies the initial configuration to a state without versions.
 func putInForce(o Options) error {
 	result, err := o.Store.Propose(context.Background(), fleet.Command{
-		Kind: fleet.KindApply, Author: o.Settings.Name, At: o.Now(), Comment: "initial", Document: o.Initial,
+		Kind: fleet.KindApply, Author: o.Settings.Name, ProposedAt: o.Now(), Comment: "initial", Document: o.Initial,
 	})
 	if err != nil {
 		return err
 	}
-	if result.Outcome == fleet.Invalid {
+	if result.Outcome == fleet.OutcomeInvalid {
 		return errInitial.New("initial configuration: %s", result.Problems[0])
 	}
 	return nil
--- a/internal/node/operators_test.go
+++ b/internal/node/operators_test.go
@@ -57,7 +57,7 @@
 	propose := func(c fleet.Command) fleet.Result {
 		result, err := client.Propose(ctx, c)
 		is.NoErr(err)
-		is.Equal(result.Outcome, fleet.Accepted)
+		is.Equal(result.Outcome, fleet.OutcomeAccepted)
 		until(t, "the change is in force on every daemon", func() bool {
 			progress, err := client.Progress(ctx, result.Revision)
 			is.NoErr(err)
@@ -81,14 +81,14 @@
 	propose(fleet.Command{Kind: fleet.KindCancelDrain, RequestID: "c", BackendServer: "floor-1"})
 	is.Equal(b.Available(id), 2)
 
-	propose(fleet.Command{Kind: fleet.KindPatch, RequestID: "d", Expected: 1, Patch: &fleet.Patch{
+	propose(fleet.Command{Kind: fleet.KindPatch, RequestID: "d", ExpectedVersion: 1, Patch: &fleet.Patch{
 		PutExceptions: []fleet.Exception{{
 			Name: "slow-disk", Scope: fleet.ScopeBackendServer, Target: "floor-2",
 			Key: "weight", Value: "0", Reason: "its disk is being replaced",
 		}},
 	}})
 	is.Equal(b.Available(id), 1)
-	propose(fleet.Command{Kind: fleet.KindRollback, RequestID: "e", Expected: 2, Version: 0})
+	propose(fleet.Command{Kind: fleet.KindRollback, RequestID: "e", ExpectedVersion: 2, RollbackVersion: 0})
 	is.Equal(b.Members(id), 0)
 	settled, err := client.Propose(ctx, fleet.Command{Kind: fleet.KindApply, RequestID: "a", Document: document})
 	is.NoErr(err)
--- a/internal/role/control/configuration.go
+++ b/internal/role/control/configuration.go
@@ -17,13 +17,13 @@
 // Fleet is the replicated state of the fleet.
 type Fleet interface {
 	// Read calls read with a state that holds every acknowledged command.
-	Read(ctx context.Context, read func(*fleet.Machine)) error
+	Read(ctx context.Context, read func(*fleet.StateMachine)) error
 	// Peek calls read with the state as this process has it.
-	Peek(read func(*fleet.Machine))
+	Peek(read func(*fleet.StateMachine))
 	// Changed returns a channel that is closed at the next change.
 	Changed() <-chan struct{}
 	// ChangeSeats notes which agents there are.
-	ChangeSeats(ctx context.Context, c fleet.SeatChange) error
+	ChangeSeats(ctx context.Context, c fleet.RegistrationChange) error
 }
 
 // followDelay bounds the pause before the state is asked for again.
@@ -49,10 +49,10 @@
 // registryOptions returns what the settings mean for membership.
 func (o *Options) registryOptions(s fleet.Settings) lease.Options {
 	return lease.Options{
-		Lease:      s.Lease,
+		Lease:      s.LeaseDuration,
 		Collect:    o.Collect,
-		WarmFor:    s.Warming,
-		MaxEjected: float64(s.MaxEjected) / 100,
+		WarmFor:    s.WarmupDuration,
+		MaxEjected: float64(s.MaxEjectedPercent) / 100,
 	}
 }
 
@@ -80,15 +80,15 @@
 
 // adoptFirst adopts the state of m with the agents that there were before this
 // process came to lead.
-func (c *term) adoptFirst(m *fleet.Machine) {
+func (c *term) adoptFirst(m *fleet.StateMachine) {
 	c.mu.Lock()
-	c.registry.SetSeats(m.Seats())
+	c.registry.SetSeats(m.RegisteredAgents())
 	c.mu.Unlock()
 	c.adopt(m)
 }
 
 // adopt publishes the state of m unless it is in force already.
-func (c *term) adopt(m *fleet.Machine) {
+func (c *term) adopt(m *fleet.StateMachine) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.configuration.document != nil && m.Revision() <= c.configuration.revision {
@@ -117,10 +117,10 @@
 	inbound := make(map[string][]proto.Inbound)
 	for i := range document.Listeners {
 		l := &document.Listeners[i]
-		for _, p := range l.Portions {
+		for _, p := range l.WeightedServices {
 			inbound[p.Service] = append(inbound[p.Service], proto.Inbound{Addr: l.Address, Weight: p.Weight})
 		}
-		for _, name := range l.Former {
+		for _, name := range l.PreviousServices {
 			inbound[name] = append(inbound[name], proto.Inbound{Addr: l.Address})
 		}
 	}
@@ -136,8 +136,8 @@
 func (c *term) service(s *fleet.Service) proto.Service {
 	return proto.Service{
 		ID: s.ID, Name: s.Name, Mode: proto.Mode(s.Mode), Addresses: s.Addresses,
-		Share: s.Share, Classes: s.Classes, Repeatable: s.Repeatable,
-		Settings: c.configuration.resolver.Effective(fleet.Target{Service: s.Name}),
+		Share: s.Share, Classes: s.Classes, Repeatable: s.RepeatableRoutes,
+		Settings: c.configuration.resolver.EffectiveSettings(fleet.Target{Service: s.Name}),
 	}
 }
 
@@ -146,7 +146,7 @@
 func (c *term) setWeights() {
 	resolver := c.configuration.resolver
 	c.registry.SetWeights(func(a *view.Announcement) uint32 {
-		return resolver.Effective(fleet.Target{Service: a.Service, Zone: a.Zone, BackendServer: a.ID}).Weight
+		return resolver.EffectiveSettings(fleet.Target{Service: a.Service, Zone: a.Zone, BackendServer: a.ID}).Weight
 	})
 }
 
@@ -154,7 +154,7 @@
 // holds the lock.
 func (c *term) expireExceptions(now time.Time) {
 	document := c.configuration.document
-	if document == nil || len(document.Expired(now)) == c.configuration.resolver.Expired() {
+	if document == nil || len(document.ExpiredExceptions(now)) == c.configuration.resolver.ExpiredCount() {
 		return
 	}
 	c.configuration.resolver = fleet.NewResolver(document, now)
--- a/internal/role/control/seats.go
+++ b/internal/role/control/seats.go
@@ -18,15 +18,15 @@
 	if c.seating || c.options.Fleet == nil {
 		return
 	}
-	change := fleet.SeatChange{Taken: c.registry.Unseated(), Left: c.registry.Vacant(c.elapsed())}
-	if len(change.Taken)+len(change.Left) == 0 {
+	change := fleet.RegistrationChange{Added: c.registry.Unseated(), Removed: c.registry.Vacant(c.elapsed())}
+	if len(change.Added)+len(change.Removed) == 0 {
 		return
 	}
 	c.seating = true
 	go c.replicateSeats(change)
 }
 
-func (c *term) replicateSeats(change fleet.SeatChange) {
+func (c *term) replicateSeats(change fleet.RegistrationChange) {
 	ctx, cancel := context.WithTimeout(c.ctx, seatTimeout)
 	defer cancel()
 	err := c.options.Fleet.ChangeSeats(ctx, change)
@@ -35,10 +35,10 @@
 	c.seating = false
 	if err != nil {
 		c.options.Log.Warn("Could not note which agents there are.", zap.Error(err),
-			zap.Stringers("taken", change.Taken), zap.Stringers("left", change.Left))
+			zap.Stringers("taken", change.Added), zap.Stringers("left", change.Removed))
 		return
 	}
 	c.options.Log.Info("Noted which agents there are.",
-		zap.Stringers("taken", change.Taken), zap.Stringers("left", change.Left))
-	c.options.Fleet.Peek(func(m *fleet.Machine) { c.registry.SetSeats(m.Seats()) })
+		zap.Stringers("taken", change.Added), zap.Stringers("left", change.Removed))
+	c.options.Fleet.Peek(func(m *fleet.StateMachine) { c.registry.SetSeats(m.RegisteredAgents()) })
 }
--- a/internal/role/control/term.go
+++ b/internal/role/control/term.go
@@ -126,7 +126,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	service, ok := c.services[a.Service]
-	leaseTime := c.configuration.defaults().Lease
+	leaseTime := c.configuration.defaults().LeaseDuration
 	if !ok {
 		return proto.AnnounceReply{Reason: "no such service", Lease: leaseTime}
 	}
