--- a/core/quorum/change.go
+++ b/core/quorum/change.go
@@ -1,12 +1,13 @@
 package quorum
 
-// maxPromoteLag is how many entries a learner may be behind when it becomes a
-// voter, so that it does not hold up commits for long (thesis, 4.2.1).
-const maxPromoteLag = 100
+// maxPromotionLag is the largest number of entries that a learner may lag behind
+// the leader when it is promoted, so that commits do not wait long for it
+// (thesis, 4.2.1).
+const maxPromotionLag = 100
 
-// ProposeChange asks for one membership change. Only the leader takes it, one
-// at a time, and not before an entry of its term is committed (thesis, 4.1,
-// and the correction of 2015 to it).
+// ProposeChange proposes one membership change. Only the leader accepts it, one
+// at a time, and only after an entry of its term is committed (thesis, 4.1, and
+// its correction of 2015).
 func (r *Replica) ProposeChange(number uint64, c ConfChange) error {
 	if r.role != Leader {
 		return r.notLeader()
@@ -14,48 +15,49 @@
 	if term, _ := r.log.term(r.log.committed); term != r.term {
 		return ErrChangePending.New("term %d has no committed entry yet", r.term)
 	}
-	if r.log.configIndex() > r.log.committed {
-		return ErrChangePending.New("membership change at entry %d is not committed", r.log.configIndex())
+	if r.log.membershipIndex() > r.log.committed {
+		return ErrChangePending.New("membership change at entry %d is not committed", r.log.membershipIndex())
 	}
 	next, err := r.log.membership().Apply(c)
 	if err != nil {
 		return err
 	}
-	if err := r.checkSafe(c, next); err != nil {
+	if err := r.validateChange(c, next); err != nil {
 		return err
 	}
 	e := Entry{Kind: EntryChange, Change: &c, Proposer: r.id, ProposalID: number}
-	if err := r.accepts(e); err != nil {
+	if err := r.appendProposal(e); err != nil {
 		return err
 	}
 	r.syncProgress()
 	return nil
 }
 
-// checkSafe refuses a change that would leave the cluster without a quorum of
-// live voters.
-func (r *Replica) checkSafe(c ConfChange, next Membership) error {
+// validateChange rejects change c if the resulting membership would lack a
+// quorum of live voters, or if c promotes a learner that lags behind.
+func (r *Replica) validateChange(c ConfChange, next Membership) error {
 	if c.Op == PromoteLearner {
-		p := r.find(c.Member.ID)
-		if p == nil || !r.heardLately(p.ID) || p.State != StateReplicate || p.Match+maxPromoteLag < r.log.lastIndex() {
-			return ErrNotCaughtUp.New("learner %s does not hold the log up to entry %d", c.Member.ID, r.log.lastIndex())
+		p := r.progressOf(c.Member.ID)
+		if p == nil || !r.isRecentlyActive(p.ID) || p.State != StateReplicate || p.Match+maxPromotionLag < r.log.lastIndex() {
+			return ErrNotCaughtUp.New("learner %s has not replicated the log up to entry %d", c.Member.ID, r.log.lastIndex())
 		}
 	}
-	if c.Op != AddLearner && !next.hasQuorum(r.heardLately) {
+	if c.Op != AddLearner && !next.hasQuorum(r.isRecentlyActive) {
 		return ErrUnsafeChange.New("%s of replica %s would leave %d voters without a live quorum",
 			c.Op, c.Member.ID, next.VoterCount())
 	}
 	return nil
 }
 
-// syncProgress keeps one progress per other member of the membership in force.
+// syncProgress matches the progress list to the other members of the active
+// membership.
 func (r *Replica) syncProgress() {
 	var next []*Progress
 	for _, member := range r.log.membership().Members {
 		if member.ID == r.id {
 			continue
 		}
-		p := r.find(member.ID)
+		p := r.progressOf(member.ID)
 		if p == nil {
 			p = &Progress{ID: member.ID, Next: r.log.lastIndex() + 1, RecentlyActive: true}
 		}
--- a/core/quorum/election.go
+++ b/core/quorum/election.go
@@ -9,45 +9,46 @@
 	r.leader = leader
 	r.votes = nil
 	r.progress = nil
-	r.transfer = 0
+	r.transferTarget = 0
 	r.reads = readQueue{}
-	r.resetElection()
+	r.resetElectionTimer()
 }
 
-// resetElection draws a new timeout, so that split votes are rare (paper,
-// section 5.2).
-func (r *Replica) resetElection() {
+// resetElectionTimer restarts the election timer with a new random timeout,
+// which makes split votes rare (paper, section 5.2).
+func (r *Replica) resetElectionTimer() {
 	r.electionElapsed = 0
 	r.heartbeatElapsed = 0
 	r.electionTimeout = r.config.ElectionTicks + r.config.Rand.IntN(r.config.ElectionTicks)
 }
 
-// hurryElection shortens the timeout of a replica that campaigns: a leader that
-// lives is heard at its next heartbeat, and a pre-vote does not disturb it. The
-// votes have the time of three heartbeats to arrive.
-func (r *Replica) hurryElection() {
-	first := 3 * r.config.HeartbeatTicks
-	r.electionTimeout = first + r.config.Rand.IntN(max(r.config.ElectionTicks-first, 1))
+// shortenElectionTimeout shortens the timeout of a campaigning replica: a live
+// leader sends its next heartbeat soon, and a pre-vote does not disrupt it. The
+// timeout leaves at least three heartbeat intervals for the votes to arrive.
+func (r *Replica) shortenElectionTimeout() {
+	minTicks := 3 * r.config.HeartbeatTicks
+	r.electionTimeout = minTicks + r.config.Rand.IntN(max(r.config.ElectionTicks-minTicks, 1))
 }
 
-// hearsLeader reports whether a leader was heard within the shortest timeout.
-func (r *Replica) hearsLeader() bool {
+// hasLiveLeader reports whether the leader sent a message within the minimum
+// election timeout.
+func (r *Replica) hasLiveLeader() bool {
 	return r.leader != 0 && r.electionElapsed < r.config.ElectionTicks
 }
 
-// Campaign starts an election at once, for a replica that knows that there is
-// no leader to wait for.
+// Campaign starts an election immediately, without waiting for the election
+// timeout. Call it when there is known to be no leader.
 func (r *Replica) Campaign() {
 	if r.role != Leader && r.log.membership().IsVoter(r.id) {
 		r.campaign(PreCandidate, false)
 	}
 }
 
-// campaign asks the voters for their votes as a PreCandidate, which changes no
-// term (thesis, 9.6), or as a Candidate.
+// campaign requests votes from the voters, either as a PreCandidate, which
+// leaves the term unchanged (thesis, 9.6), or as a Candidate.
 func (r *Replica) campaign(role Role, transfer bool) {
-	r.resetElection()
-	r.hurryElection()
+	r.resetElectionTimer()
+	r.shortenElectionTimeout()
 	r.role = role
 	r.leader = 0
 	r.votes = map[ReplicaID]bool{r.id: true}
@@ -72,19 +73,19 @@
 	}
 }
 
-// stepVote answers a request for a vote or pre-vote (paper, figure 2:
-// RequestVote). A replica answers even if it believes to be no voter: its
-// membership may lag behind the candidate's.
+// stepVote responds to a vote or pre-vote request (paper, figure 2:
+// RequestVote). A replica responds even if it is not a voter in its own
+// membership, which may lag behind the candidate's.
 func (r *Replica) stepVote(m Message) {
-	granted := r.log.upToDate(m.Index, m.LogTerm)
+	granted := r.log.isUpToDate(m.Index, m.LogTerm)
 	if m.Type == MsgPreVote {
-		granted = granted && m.Term > r.term && !r.precedes(m)
-		answer := Message{Type: MsgPreVoteResp, To: m.From, Reject: !granted}
+		granted = granted && m.Term > r.term && !r.outranks(m)
+		response := Message{Type: MsgPreVoteResp, To: m.From, Reject: !granted}
 		if granted {
-			answer.Term = m.Term
-			r.giveWay(m)
+			response.Term = m.Term
+			r.abandonPreVote(m)
 		}
-		r.send(answer)
+		r.send(response)
 		return
 	}
 	granted = granted && (r.vote == m.From || r.vote == 0 && r.leader == 0)
@@ -95,17 +96,17 @@
 	r.send(Message{Type: MsgVoteResp, To: m.From, Reject: !granted})
 }
 
-// precedes reports whether this replica has just asked for votes itself and goes
-// before the sender of m, whose log is the same. Otherwise replicas that start
-// together would each vote for themselves.
-func (r *Replica) precedes(m Message) bool {
-	fresh := r.role == PreCandidate && r.electionElapsed == 0
-	return fresh && r.id > m.From && r.sameLog(m)
+// outranks reports whether this replica started a pre-vote in the current tick
+// and takes precedence, by its greater ID, over the sender of m with an equal
+// log. Without this rule, replicas that start together would split the votes.
+func (r *Replica) outranks(m Message) bool {
+	startedThisTick := r.role == PreCandidate && r.electionElapsed == 0
+	return startedThisTick && r.id > m.From && r.sameLog(m)
 }
 
-// giveWay ends a pre-vote of this replica in favour of the sender of m, which has
-// asked as well and goes before it.
-func (r *Replica) giveWay(m Message) {
+// abandonPreVote ends this replica's pre-vote if the sender of m, which is
+// campaigning too, takes precedence over it.
+func (r *Replica) abandonPreVote(m Message) {
 	if r.role == PreCandidate && (m.From > r.id || !r.sameLog(m)) {
 		r.role = Follower
 		r.votes = nil
@@ -117,46 +118,46 @@
 }
 
 func (r *Replica) stepVoteResp(m Message) {
-	answersPreVote := m.Type == MsgPreVoteResp && r.role == PreCandidate && (m.Reject || m.Term == r.term+1)
-	answersVote := m.Type == MsgVoteResp && r.role == Candidate
-	if !answersPreVote && !answersVote {
+	isPreVoteResponse := m.Type == MsgPreVoteResp && r.role == PreCandidate && (m.Reject || m.Term == r.term+1)
+	isVoteResponse := m.Type == MsgVoteResp && r.role == Candidate
+	if !isPreVoteResponse && !isVoteResponse {
 		return
 	}
 	r.votes[m.From] = !m.Reject
 	r.countVotes()
 }
 
-// countVotes moves on when a majority has answered alike; it reports whether
-// the campaign is over.
+// countVotes starts the next phase when a majority has granted or rejected the
+// votes. It reports whether this phase of the campaign is over.
 func (r *Replica) countVotes() bool {
 	members := r.log.membership()
 	granted := members.hasQuorum(func(id ReplicaID) bool { return r.votes[id] })
-	refused := members.hasQuorum(func(id ReplicaID) bool {
-		grant, answered := r.votes[id]
-		return answered && !grant
+	rejected := members.hasQuorum(func(id ReplicaID) bool {
+		vote, hasResponded := r.votes[id]
+		return hasResponded && !vote
 	})
 	switch {
 	case granted && r.role == PreCandidate:
 		r.campaign(Candidate, false)
 	case granted:
 		r.becomeLeader()
-	case refused:
+	case rejected:
 		r.becomeFollower(r.term, 0)
 	}
-	return granted || refused
+	return granted || rejected
 }
 
-// becomeLeader opens the term with an entry of its own, without which older
-// entries cannot be committed (paper, sections 5.4.2 and 8).
+// becomeLeader appends a no-op entry in the new term, without which entries of
+// earlier terms cannot be committed (paper, sections 5.4.2 and 8).
 func (r *Replica) becomeLeader() {
-	r.resetElection()
+	r.resetElectionTimer()
 	r.role = Leader
 	r.leader = r.id
 	r.votes = nil
 	r.reads = readQueue{}
 	r.progress = nil
 	r.syncProgress()
-	r.propose(Entry{Kind: EntryNoop})
+	r.appendEntry(Entry{Kind: EntryNoop})
 	r.sendHeartbeats()
 }
 
@@ -164,49 +165,50 @@
 	r.heartbeatElapsed++
 	if r.electionElapsed >= r.config.ElectionTicks {
 		r.electionElapsed = 0
-		r.transfer = 0 // thesis, 3.10: a transfer that takes too long is given up
+		r.transferTarget = 0 // thesis, 3.10: abort a transfer that takes longer than an election timeout
 		r.checkQuorum()
 		if r.role != Leader {
 			return
 		}
 	}
-	r.tickSnapshots()
+	r.retrySnapshots()
 	if r.heartbeatElapsed >= r.config.HeartbeatTicks {
 		r.heartbeatElapsed = 0
 		r.sendHeartbeats()
 	}
 }
 
-// checkQuorum steps down when no majority was heard since the last check
-// (thesis, 6.2), so a leader that was cut off soon stops calling itself one.
+// checkQuorum steps down if no quorum of voters was active since the last check
+// (thesis, 6.2), so that a partitioned leader soon stops acting as leader.
 func (r *Replica) checkQuorum() {
-	if !r.log.membership().hasQuorum(r.isActive) {
+	if !r.log.membership().hasQuorum(r.isActiveThisWindow) {
 		r.becomeFollower(r.term, 0)
 		return
 	}
 	for _, p := range r.progress {
-		p.wasActive = p.RecentlyActive
+		p.activeInPreviousWindow = p.RecentlyActive
 		p.RecentlyActive = false
 	}
 }
 
-func (r *Replica) isActive(id ReplicaID) bool {
+func (r *Replica) isActiveThisWindow(id ReplicaID) bool {
 	if id == r.id {
 		return true
 	}
-	p := r.find(id)
+	p := r.progressOf(id)
 	return p != nil && p.RecentlyActive
 }
 
-// heardLately is true for up to two windows of the quorum check, so it does
-// not turn false for all replicas right after a check.
-func (r *Replica) heardLately(id ReplicaID) bool {
-	p := r.find(id)
-	return r.isActive(id) || p != nil && p.wasActive
+// isRecentlyActive reports whether a message arrived from the replica in the
+// current or the previous window of the quorum check. The current window alone
+// would make every replica appear inactive right after a check.
+func (r *Replica) isRecentlyActive(id ReplicaID) bool {
+	p := r.progressOf(id)
+	return r.isActiveThisWindow(id) || p != nil && p.activeInPreviousWindow
 }
 
-// TransferLeadership hands the term's end to a voter whose log is complete
-// (thesis, 3.10). Proposals are refused until it is over.
+// TransferLeadership transfers leadership to a voter once its log is up to date
+// (thesis, 3.10). Proposals are rejected until the transfer ends.
 func (r *Replica) TransferLeadership(to ReplicaID) error {
 	if r.role != Leader {
 		return r.notLeader()
@@ -214,22 +216,23 @@
 	if to == r.id {
 		return nil
 	}
-	p := r.find(to)
+	p := r.progressOf(to)
 	if p == nil || !r.log.membership().IsVoter(to) {
-		return ErrInvalidChange.New("replica %s is no voter", to)
+		return ErrInvalidChange.New("replica %s is not a voter", to)
 	}
-	if !r.heardLately(to) {
-		return ErrNotCaughtUp.New("replica %s was not heard lately", to)
+	if !r.isRecentlyActive(to) {
+		return ErrNotCaughtUp.New("no recent message from replica %s", to)
 	}
-	r.transfer = to
+	r.transferTarget = to
 	r.electionElapsed = 0
-	r.finishTransfer(p)
+	r.tryCompleteTransfer(p)
 	return nil
 }
 
-// finishTransfer lets the target campaign once it holds the whole log.
-func (r *Replica) finishTransfer(p *Progress) {
-	if r.transfer == p.ID && p.Match == r.log.lastIndex() {
+// tryCompleteTransfer tells the transfer target to campaign once its log matches
+// the leader's.
+func (r *Replica) tryCompleteTransfer(p *Progress) {
+	if r.transferTarget == p.ID && p.Match == r.log.lastIndex() {
 		r.send(Message{Type: MsgTimeoutNow, To: p.ID})
 	}
 }
--- a/core/quorum/errors.go
+++ b/core/quorum/errors.go
@@ -6,28 +6,30 @@
 var Errors = errorx.NewNamespace("quorum")
 
 var (
-	// ErrNotLeader refuses what only a leader does. Nothing was proposed.
+	// ErrNotLeader rejects an operation that requires the leader. Nothing was
+	// proposed.
 	ErrNotLeader = Errors.NewType("not_leader")
-	// ErrWrongRecipient refuses a message meant for another replica identity,
-	// such as the one this disk's predecessor had.
+	// ErrWrongRecipient rejects a message addressed to another replica ID, such
+	// as the ID used with this replica's previous disk.
 	ErrWrongRecipient = Errors.NewType("not_addressed")
-	// ErrClusterMismatch refuses a message of another cluster.
+	// ErrClusterMismatch rejects a message from another cluster.
 	ErrClusterMismatch = Errors.NewType("cluster_mismatch")
-	// ErrLeadershipTransfer refuses proposals while leadership moves away.
+	// ErrLeadershipTransfer rejects proposals during a leadership transfer.
 	ErrLeadershipTransfer = Errors.NewType("transferring")
-	// ErrChangePending refuses a membership change before the last committed.
+	// ErrChangePending rejects a membership change while the previous one is not
+	// committed, or before an entry of the term is committed.
 	ErrChangePending = Errors.NewType("change_pending")
-	// ErrInvalidChange refuses a membership change that makes no sense.
+	// ErrInvalidChange rejects a change that does not apply to the membership.
 	ErrInvalidChange = Errors.NewType("invalid_change")
-	// ErrNotCaughtUp refuses to promote a learner or to transfer leadership to
-	// a replica whose log is behind.
+	// ErrNotCaughtUp rejects the promotion of a learner, or a leadership transfer,
+	// if the replica's log lags behind or the replica is inactive.
 	ErrNotCaughtUp = Errors.NewType("not_caught_up")
-	// ErrUnsafeChange refuses a membership change after which the replicas heard
-	// from lately would be no quorum.
+	// ErrUnsafeChange rejects a membership change after which the recently active
+	// replicas would not form a quorum.
 	ErrUnsafeChange = Errors.NewType("unsafe_change")
-	// ErrLogRolledBack reports that the disk lost entries this replica acknowledged.
-	// The replica must stop and be replaced under a new identity.
+	// ErrLogRolledBack reports that the disk lost entries that this replica has
+	// acknowledged. The replica must stop and be replaced under a new ID.
 	ErrLogRolledBack = Errors.NewType("rolled_back")
-	// ErrInvalidState reports saved state that contradicts itself.
+	// ErrInvalidState reports inconsistent saved state.
 	ErrInvalidState = Errors.NewType("bad_state")
 )
--- a/core/quorum/example_test.go
+++ b/core/quorum/example_test.go
@@ -7,7 +7,7 @@
 	"fulmarmount.org/core/quorum"
 )
 
-// A cluster of one replica: the loop saves, sends, applies and advances.
+// A cluster with a single replica: the loop saves, sends, applies and advances.
 func Example() {
 	hard, snapshot := quorum.Bootstrap(1, quorum.Member{ID: 42, Name: "vm-1"})
 	replica, err := quorum.New(quorum.Config{
--- a/core/quorum/traps_test.go
+++ b/core/quorum/failures_test.go
@@ -9,8 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// settled returns a cluster with a leader and ten committed commands.
-func settled(replicas int) *sim {
+// electedSim returns a cluster with a leader and ten committed commands.
+func electedSim(replicas int) *sim {
 	s := newSim(1, replicas)
 	s.run(60)
 	for range 10 {
@@ -37,52 +37,52 @@
 	}
 }
 
-// replace wipes n and carries the repair through.
-func (s *sim) replace(n *node) {
-	s.lost = n.id
+// replaceReplica replaces the disk of n and completes the repair.
+func (s *sim) replaceReplica(n *node) {
+	s.lostID = n.id
 	s.crash(n)
-	s.wipe(n)
-	for i := 0; s.lost != 0 && i < 50; i++ {
+	s.replaceDisk(n)
+	for i := 0; s.lostID != 0 && i < 50; i++ {
 		s.repair()
 		s.run(10)
 	}
 }
 
-func TestTraps(t *testing.T) {
+func TestFailureScenarios(t *testing.T) {
 	cases := []struct {
 		name string
 		run  func(is *is.I, s *sim)
 	}{
-		{"a lost disk returns as a learner and not as its old self", lostDiskReturns},
-		{"a second VM lost right after the repair", secondLossAfterRepair},
-		{"a leader cut off for an hour", leaderCutOff},
-		{"a leader cut off with its clock stopped", leaderFrozen},
-		{"a follower that hears but is not heard", deafLeader},
-		{"a rejoining replica does not disturb the leader", preVoteKeepsLeader},
-		{"membership changes go one at a time", changesOneAtATime},
-		{"a change that would lose the quorum", unsafeChange},
-		{"leadership moves to a chosen voter", transfer},
+		{"a replica with a replaced disk rejoins as a learner under a new ID", replacedDiskRejoins},
+		{"another VM is lost right after the repair", secondLossAfterRepair},
+		{"a leader is partitioned for an hour", leaderPartitioned},
+		{"a leader is partitioned and its clock stopped", leaderClockStopped},
+		{"a leader sends but receives no messages", asymmetricPartition},
+		{"a rejoining replica does not disrupt the leader", preVoteKeepsLeader},
+		{"membership changes are made one at a time", changesOneAtATime},
+		{"a change that would lose the quorum is rejected", unsafeChange},
+		{"leadership is transferred to a chosen voter", transfer},
 		{"a leader removes itself", leaderRemovesItself},
-		{"another cluster's message", otherCluster},
-		{"a disk rolled back to an older state", rolledBack},
+		{"a message of another cluster is rejected", otherCluster},
+		{"a disk that was rolled back to an older state is detected", rolledBack},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			s := settled(3)
+			s := electedSim(3)
 			c.run(is, s)
 			s.heal()
-			is.Equal(s.errs, nil)
+			is.Equal(s.failures, nil)
 		})
 	}
 }
 
-func lostDiskReturns(is *is.I, s *sim) {
+func replacedDiskRejoins(is *is.I, s *sim) {
 	n := s.followers()[0]
 	old := n.id
-	s.lost = old
+	s.lostID = old
 	s.crash(n)
-	s.wipe(n)
+	s.replaceDisk(n)
 	vote := Message{Type: MsgVote, Cluster: simCluster, From: s.leader().id, To: old, Term: 99, Index: 99, LogTerm: 99}
 	is.True(errorx.IsOfType(n.r.Step(vote), ErrWrongRecipient))
 	s.run(100)
@@ -101,22 +101,22 @@
 }
 
 func secondLossAfterRepair(is *is.I, s *sim) {
-	s.replace(s.followers()[0])
-	is.Equal(s.lost, ReplicaID(0))
-	before := len(s.acked)
+	s.replaceReplica(s.followers()[0])
+	is.Equal(s.lostID, ReplicaID(0))
+	before := len(s.ackedCommands)
 	s.propose(s.leader())
 	s.run(5)
-	is.Equal(len(s.acked), before+1)
-	s.replace(s.leader())
-	is.Equal(s.lost, ReplicaID(0))
-	s.replace(s.followers()[1])
+	is.Equal(len(s.ackedCommands), before+1)
+	s.replaceReplica(s.leader())
+	is.Equal(s.lostID, ReplicaID(0))
+	s.replaceReplica(s.followers()[1])
 }
 
-func leaderCutOff(is *is.I, s *sim) {
+func leaderPartitioned(is *is.I, s *sim) {
 	const hourOfTicks = 36000 // of 100 ms
 	old := s.leader()
 	s.isolate(old)
-	number := s.propose(old)
+	proposalID := s.propose(old)
 	s.read(old)
 	s.run(100)
 	for range 20 {
@@ -125,32 +125,32 @@
 	}
 	is.True(s.leader() != old)
 	is.Equal(old.r.Status().Role, PreCandidate)
-	_, acked := s.acked[number]
-	is.True(!acked)
-	is.Equal(len(old.reads), 1) // still unanswered
+	_, isAcked := s.ackedCommands[proposalID]
+	is.True(!isAcked)
+	is.Equal(len(old.reads), 1) // still incomplete
 	is.True(errorx.IsOfType(old.r.Propose(0, nil), ErrNotLeader))
 	is.True(errorx.IsOfType(old.r.ReadIndex(0), ErrNotLeader))
 }
 
-func leaderFrozen(is *is.I, s *sim) {
+func leaderClockStopped(is *is.I, s *sim) {
 	old := s.leader()
 	s.isolate(old)
-	old.speed = 0
+	old.clockRate = 0
 	s.run(100)
-	fresh := s.leader()
-	is.True(fresh != old)
-	s.propose(fresh)
+	newLeader := s.leader()
+	is.True(newLeader != old)
+	s.propose(newLeader)
 	s.run(5)
-	is.Equal(old.r.Status().Role, Leader) // it cannot know
+	is.Equal(old.r.Status().Role, Leader) // it cannot detect the new leader
 	s.read(old)
-	number := s.propose(old)
+	proposalID := s.propose(old)
 	s.run(100)
-	_, acked := s.acked[number]
-	is.True(!acked)
+	_, isAcked := s.ackedCommands[proposalID]
+	is.True(!isAcked)
 	is.Equal(len(old.reads), 1)
 }
 
-func deafLeader(is *is.I, s *sim) {
+func asymmetricPartition(is *is.I, s *sim) {
 	old := s.leader()
 	for _, n := range s.followers() {
 		s.blocked[[2]ReplicaID{n.id, old.id}] = true
@@ -229,13 +229,13 @@
 	is.True(errorx.IsOfType(n.r.Step(m), ErrLogRolledBack))
 }
 
-// TestVoteIsSynced covers a vote in a term that is on disk already.
+// TestVoteIsSynced covers a vote in a term that is already on disk.
 func TestVoteIsSynced(t *testing.T) {
 	is := is.New(t)
 	s := newSim(1, 3)
 	r := s.nodes[0].r
 	is.NoErr(r.Step(Message{Type: MsgVoteResp, Cluster: simCluster, From: 2, To: 1, Term: 5, Reject: true}))
-	s.pump(s.nodes[0], 0)
+	s.processReady(s.nodes[0], 0)
 	is.NoErr(r.Step(Message{Type: MsgVote, Cluster: simCluster, From: 2, To: 1, Term: 5, Index: 9, LogTerm: 4}))
 	rd := r.Ready()
 	is.True(rd.MustSync)
@@ -244,7 +244,8 @@
 	is.Equal(rd.Messages[0].Type, MsgVoteResp)
 }
 
-// TestOlderTermIsNotCommittedByCount is figure 8 of the Raft paper.
+// TestOlderTermIsNotCommittedByCount covers figure 8 of the Raft paper: an entry of an
+// earlier term on a majority of the disks is not committed by counting replicas.
 func TestOlderTermIsNotCommittedByCount(t *testing.T) {
 	is := is.New(t)
 	s := newSim(1, 3)
@@ -256,7 +257,7 @@
 	}
 	is.NoErr(n.r.Step(Message{Type: MsgPreVoteResp, Cluster: simCluster, From: 2, To: 1, Term: 3}))
 	is.NoErr(n.r.Step(Message{Type: MsgVoteResp, Cluster: simCluster, From: 2, To: 1, Term: 3}))
-	s.pump(n, 0)
+	s.processReady(n, 0)
 	ack := Message{Type: MsgAppendResp, Cluster: simCluster, From: 2, To: 1, Term: 3, Index: 2}
 	is.NoErr(n.r.Step(ack))
 	is.Equal(n.r.Status().CommitIndex, uint64(1))
@@ -265,10 +266,10 @@
 	is.Equal(n.r.Status().CommitIndex, uint64(3))
 }
 
-// TestLiveLeaderIsNotDisturbed covers a vote request of a removed replica.
-func TestLiveLeaderIsNotDisturbed(t *testing.T) {
+// TestLiveLeaderIsNotDisrupted covers a vote request from a removed replica.
+func TestLiveLeaderIsNotDisrupted(t *testing.T) {
 	is := is.New(t)
-	s := settled(3)
+	s := electedSim(3)
 	n, term := s.followers()[0], s.leader().r.term
 	vote := Message{Type: MsgVote, Cluster: simCluster, From: 9, To: n.id, Term: term + 5, Index: 99, LogTerm: term + 5}
 	is.NoErr(n.r.Step(vote))
@@ -278,9 +279,9 @@
 	is.Equal(n.r.term, term+5)
 }
 
-// TestUnsavedTermSendsNothingEarly covers a sole voter that elects itself: a
-// crash before the save would use the same term twice.
-func TestUnsavedTermSendsNothingEarly(t *testing.T) {
+// TestUnsavedTermSendsNoImmediateMessages covers a sole voter that elects itself: if
+// it sent messages before it saved the term, a crash could make it reuse the term.
+func TestUnsavedTermSendsNoImmediateMessages(t *testing.T) {
 	is := is.New(t)
 	hard, snapshot := Bootstrap(simCluster, Member{ID: 1}, Member{ID: 2, IsLearner: true})
 	r, err := New(Config{ID: 1, Rand: rand.New(rand.NewPCG(1, 1)), HardState: hard, Snapshot: snapshot})
@@ -297,7 +298,7 @@
 	is.True(len(r.Ready().ImmediateMessages) > 0)
 }
 
-func TestNewRefusesContradictions(t *testing.T) {
+func TestNewRejectsInconsistentState(t *testing.T) {
 	_, first := Bootstrap(simCluster, Member{ID: 1})
 	entry := func(index, term uint64) Entry { return Entry{Index: index, Term: term} }
 	cases := []struct {
@@ -306,8 +307,8 @@
 		entries []Entry
 		bad     bool
 	}{
-		{"whole log", HardState{Term: 2, Commit: 3}, []Entry{entry(2, 1), entry(3, 2)}, false},
-		{"log from before the snapshot", HardState{Term: 2}, []Entry{entry(1, 1), entry(2, 2)}, false},
+		{"complete log", HardState{Term: 2, Commit: 3}, []Entry{entry(2, 1), entry(3, 2)}, false},
+		{"log that starts before the snapshot", HardState{Term: 2}, []Entry{entry(1, 1), entry(2, 2)}, false},
 		{"gap after the snapshot", HardState{Term: 2}, []Entry{entry(3, 2)}, true},
 		{"gap within the log", HardState{Term: 2}, []Entry{entry(2, 1), entry(4, 1)}, true},
 		{"falling terms", HardState{Term: 2}, []Entry{entry(2, 2), entry(3, 1)}, true},
--- a/core/quorum/log.go
+++ b/core/quorum/log.go
@@ -2,21 +2,21 @@
 
 import "slices"
 
-// configAt is the membership from the entry at Index on.
-type configAt struct {
+// membershipAtIndex is a membership with the index of the entry that activated it.
+type membershipAtIndex struct {
 	index      uint64
 	membership Membership
 }
 
-// entryLog holds the entries after offset, and the latest snapshot.
+// entryLog stores the latest snapshot and the entries after offset.
 type entryLog struct {
 	snapshot   Snapshot
 	offset     uint64
 	offsetTerm uint64
 	entries    []Entry
-	// configs holds the membership of the snapshot, then that of each change
-	// in the log. The last one is in force, committed or not (thesis, 4.1).
-	configs []configAt
+	// memberships holds the snapshot's membership, followed by the one after each
+	// change in the log. The last one is active, committed or not (thesis, 4.1).
+	memberships []membershipAtIndex
 
 	stable    uint64 // last entry on disk
 	committed uint64
@@ -34,26 +34,27 @@
 		return nil, ErrInvalidState.New("log starts at entry %d, after snapshot %d", first.Index, snapshot.Index)
 	}
 	if first.Index <= snapshot.Index {
-		// The term before the first entry is unknown; drop that entry and
-		// let it stand for the offset.
+		// The term of the entry before the first one is unknown, so the first
+		// entry serves as the offset.
 		l.offset, l.offsetTerm = first.Index, first.Term
 		entries = entries[1:]
 	}
 	for i := range entries {
-		if want := l.lastIndex() + 1; entries[i].Index != want {
-			return nil, ErrInvalidState.New("log has entry %d where %d belongs", entries[i].Index, want)
+		if expected := l.lastIndex() + 1; entries[i].Index != expected {
+			return nil, ErrInvalidState.New("log has entry %d at the position of entry %d", entries[i].Index, expected)
 		}
 		if entries[i].Term < l.lastTerm() {
 			return nil, ErrInvalidState.New("term falls from %d to %d at entry %d", l.lastTerm(), entries[i].Term, entries[i].Index)
 		}
-		l.push(entries[i])
+		l.appendEntry(entries[i])
 	}
 	l.stable = l.lastIndex()
 	return l, nil
 }
 
-// LogMatchesSnapshot reports whether entries reach snapshot and agree with it. If
-// not, the snapshot came from a leader and replaces them (paper, section 7).
+// LogMatchesSnapshot reports whether entries contain the snapshot's last entry
+// with the same term, or start after it. Otherwise the snapshot came from a
+// leader and replaces the entries (paper, section 7).
 func LogMatchesSnapshot(entries []Entry, snapshot Snapshot) bool {
 	if len(entries) == 0 || entries[len(entries)-1].Index < snapshot.Index {
 		return false
@@ -66,16 +67,16 @@
 	return at < uint64(len(entries)) && entries[at].Term == snapshot.Term
 }
 
-// reset replaces everything by snapshot.
+// reset discards the log and restores the state from snapshot.
 func (l *entryLog) reset(snapshot Snapshot) {
 	*l = entryLog{
-		snapshot:   snapshot,
-		offset:     snapshot.Index,
-		offsetTerm: snapshot.Term,
-		configs:    []configAt{{index: snapshot.Index, membership: snapshot.Membership}},
-		stable:     snapshot.Index,
-		committed:  snapshot.Index,
-		applied:    snapshot.Index,
+		snapshot:    snapshot,
+		offset:      snapshot.Index,
+		offsetTerm:  snapshot.Term,
+		memberships: []membershipAtIndex{{index: snapshot.Index, membership: snapshot.Membership}},
+		stable:      snapshot.Index,
+		committed:   snapshot.Index,
+		applied:     snapshot.Index,
 	}
 }
 
@@ -86,7 +87,7 @@
 	return term
 }
 
-// term returns the term of the entry at index; false if the log lacks it.
+// term returns the term of the entry at index, or false if it is not in the log.
 func (l *entryLog) term(index uint64) (uint64, bool) {
 	if index == l.offset {
 		return l.offsetTerm, true
@@ -100,72 +101,73 @@
 	return l.entries[index-l.offset-1].Term, true
 }
 
-func (l *entryLog) matches(index, term uint64) bool {
-	have, ok := l.term(index)
-	return ok && have == term
+func (l *entryLog) hasEntry(index, term uint64) bool {
+	entryTerm, ok := l.term(index)
+	return ok && entryTerm == term
 }
 
-// upToDate reports whether a log ending at (index, term) is at least as
-// complete as this one (paper, section 5.4.1).
-func (l *entryLog) upToDate(index, term uint64) bool {
+// isUpToDate reports whether a log that ends at (index, term) is at least as
+// up-to-date as this one (paper, section 5.4.1).
+func (l *entryLog) isUpToDate(index, term uint64) bool {
 	if last := l.lastTerm(); term != last {
 		return term > last
 	}
 	return index >= l.lastIndex()
 }
 
-func (l *entryLog) membership() Membership { return l.configs[len(l.configs)-1].membership }
+func (l *entryLog) membership() Membership { return l.memberships[len(l.memberships)-1].membership }
 
-func (l *entryLog) configIndex() uint64 { return l.configs[len(l.configs)-1].index }
+func (l *entryLog) membershipIndex() uint64 { return l.memberships[len(l.memberships)-1].index }
 
-// membershipAt returns the membership in force at index.
+// membershipAt returns the membership that was active at index.
 func (l *entryLog) membershipAt(index uint64) Membership {
-	for i := len(l.configs) - 1; i > 0; i-- {
-		if l.configs[i].index <= index {
-			return l.configs[i].membership
+	for i := len(l.memberships) - 1; i > 0; i-- {
+		if l.memberships[i].index <= index {
+			return l.memberships[i].membership
 		}
 	}
-	return l.configs[0].membership
+	return l.memberships[0].membership
 }
 
-// push appends e, which must be next, and takes its membership change into force.
-func (l *entryLog) push(e Entry) {
+// appendEntry appends e, which must have the next index, and activates its membership
+// change.
+func (l *entryLog) appendEntry(e Entry) {
 	l.entries = append(l.entries, e)
 	if e.Kind != EntryChange || e.Change == nil || e.Index <= l.snapshot.Index {
 		return
 	}
-	// A leader proposes valid changes only, so the error cannot happen here.
+	// The leader validated the change before it proposed it, so Apply cannot fail.
 	if next, err := l.membership().Apply(*e.Change); err == nil {
-		l.configs = append(l.configs, configAt{index: e.Index, membership: next})
+		l.memberships = append(l.memberships, membershipAtIndex{index: e.Index, membership: next})
 	}
 }
 
-// merge adds a leader's entries, dropping a conflicting suffix of its own
-// (paper, figure 2: AppendEntries, rules 3 and 4).
+// merge appends entries from the leader and truncates a conflicting suffix of
+// this log (paper, figure 2: AppendEntries, rules 3 and 4).
 func (l *entryLog) merge(entries []Entry) {
 	for i := range entries {
 		e := entries[i]
-		if e.Index <= l.offset || l.matches(e.Index, e.Term) {
+		if e.Index <= l.offset || l.hasEntry(e.Index, e.Term) {
 			continue
 		}
 		if e.Index <= l.lastIndex() {
 			l.truncate(e.Index)
 		}
-		l.push(e)
+		l.appendEntry(e)
 	}
 }
 
-// truncate drops the entries from index on, with their membership changes.
+// truncate removes the entries from index on and reverts their membership changes.
 func (l *entryLog) truncate(index uint64) {
 	l.entries = slices.Clone(l.entries[:index-l.offset-1])
 	l.stable = min(l.stable, index-1)
-	for len(l.configs) > 1 && l.configs[len(l.configs)-1].index >= index {
-		l.configs = l.configs[:len(l.configs)-1]
+	for len(l.memberships) > 1 && l.memberships[len(l.memberships)-1].index >= index {
+		l.memberships = l.memberships[:len(l.memberships)-1]
 	}
 }
 
-// between returns the entries after lo up to and including hi.
-func (l *entryLog) between(lo, hi uint64) []Entry {
+// entriesBetween returns the entries after index lo up to and including index hi.
+func (l *entryLog) entriesBetween(lo, hi uint64) []Entry {
 	if lo >= hi {
 		return nil
 	}
@@ -173,42 +175,44 @@
 	return l.entries[from:to:to]
 }
 
-// from returns the entries from index on, at least one and at most maxBytes.
-func (l *entryLog) from(index uint64, maxBytes int) []Entry {
+// entriesFrom returns the entries from index on, limited to about maxBytes but at
+// least one.
+func (l *entryLog) entriesFrom(index uint64, maxBytes int) []Entry {
 	if index > l.lastIndex() {
 		return nil
 	}
-	all := l.entries[index-l.offset-1:]
+	remaining := l.entries[index-l.offset-1:]
 	size := 0
-	for i := range all {
-		size += all[i].size()
+	for i := range remaining {
+		size += remaining[i].size()
 		if i > 0 && size > maxBytes {
-			return all[:i:i]
+			return remaining[:i:i]
 		}
 	}
-	return all[:len(all):len(all)]
+	return remaining[:len(remaining):len(remaining)]
 }
 
-// lastAtMost returns the last index up to index whose term is at most term.
-// The log is known to differ after it from a log with term there.
-func (l *entryLog) lastAtMost(index, term uint64) (uint64, uint64) {
+// findConflictByTerm returns the last entry at or before index whose term is at
+// most term, with its term. A log whose entry at index has that term differs
+// from this log after the returned entry.
+func (l *entryLog) findConflictByTerm(index, term uint64) (uint64, uint64) {
 	if index < l.offset {
 		return index, 0
 	}
 	for i := min(index, l.lastIndex()); i > l.offset; i-- {
-		if have := l.entries[i-l.offset-1].Term; have <= term {
-			return i, have
+		if entryTerm := l.entries[i-l.offset-1].Term; entryTerm <= term {
+			return i, entryTerm
 		}
 	}
 	return l.offset, l.offsetTerm
 }
 
-// compact takes over a snapshot of applied state and drops the entries up to
-// keep entries before it.
+// compact installs a snapshot of applied state and removes the entries that it
+// covers, except the last keep ones.
 func (l *entryLog) compact(snapshot Snapshot, keep uint64) {
 	l.snapshot = snapshot
-	for len(l.configs) > 1 && l.configs[1].index <= snapshot.Index {
-		l.configs = l.configs[1:]
+	for len(l.memberships) > 1 && l.memberships[1].index <= snapshot.Index {
+		l.memberships = l.memberships[1:]
 	}
 	if snapshot.Index <= l.offset+keep {
 		return
--- a/core/quorum/message.go
+++ b/core/quorum/message.go
@@ -2,21 +2,21 @@
 
 import "fmt"
 
-// ReplicaID is the identity of one replica for the life of one disk. It is
-// drawn at random, so a replica that lost its disk returns under another one
-// and cannot vote as its old self. Zero is no replica.
+// ReplicaID identifies one replica for the lifetime of its disk. IDs are random,
+// so a replica that lost its disk restarts under a new ID and cannot vote again
+// under the old one. Zero means no replica.
 type ReplicaID uint64
 
 // String formats id as 16 hexadecimal digits.
 func (id ReplicaID) String() string { return fmt.Sprintf("%016x", uint64(id)) }
 
-// ClusterID tells clusters apart. Zero is a replica that joined none yet.
+// ClusterID identifies a cluster. Zero means that the replica has not joined one.
 type ClusterID uint64
 
 // String formats id as 16 hexadecimal digits.
 func (id ClusterID) String() string { return fmt.Sprintf("%016x", uint64(id)) }
 
-// EntryKind is what an entry carries.
+// EntryKind is the type of an entry's payload.
 type EntryKind uint8
 
 // The kinds of entries.
@@ -26,7 +26,7 @@
 	EntryChange                   // a membership change
 )
 
-// Entry is one position of the log.
+// Entry is one log entry.
 type Entry struct {
 	Index uint64    `cbor:"1,keyasint"`
 	Term  uint64    `cbor:"2,keyasint"`
@@ -35,8 +35,8 @@
 	Data []byte `cbor:"4,keyasint,omitempty"`
 	// Change is set on an EntryChange.
 	Change *ConfChange `cbor:"5,keyasint,omitempty"`
-	// Proposer and Number name the proposal, so that the replica which took it
-	// recognises its own entry when it applies it.
+	// Proposer and ProposalID identify the proposal, so that the proposing replica
+	// recognizes the entry when it applies it.
 	Proposer   ReplicaID `cbor:"6,keyasint,omitempty"`
 	ProposalID uint64    `cbor:"7,keyasint,omitempty"`
 }
@@ -46,13 +46,13 @@
 
 const entryOverheadBytes = 32
 
-// HardState must be on disk before any message that depends on it is sent
-// (paper, figure 2: persistent state).
+// HardState is the persistent state (paper, figure 2). It must be on disk before
+// any message that depends on it is sent.
 type HardState struct {
 	Cluster ClusterID `cbor:"1,keyasint"`
 	Term    uint64    `cbor:"2,keyasint"`
 	Vote    ReplicaID `cbor:"3,keyasint"`
-	// Commit may lag on disk; it is raised again by the leader.
+	// Commit may lag on disk; the leader's messages advance it again.
 	Commit uint64 `cbor:"4,keyasint"`
 }
 
@@ -61,7 +61,7 @@
 	Index      uint64     `cbor:"1,keyasint"`
 	Term       uint64     `cbor:"2,keyasint"`
 	Membership Membership `cbor:"3,keyasint"`
-	// Data is the state machine's state after Index.
+	// Data is the encoded state of the state machine after entry Index.
 	Data []byte `cbor:"4,keyasint"`
 }
 
@@ -70,62 +70,63 @@
 
 // The types of messages between replicas.
 const (
-	MsgPreVote       MessageType = iota + 1 // asks whether an election could be won
-	MsgPreVoteResp                          // answer to MsgPreVote
-	MsgVote                                 // asks for a vote
-	MsgVoteResp                             // answer to MsgVote
+	MsgPreVote       MessageType = iota + 1 // asks whether the sender could win an election
+	MsgPreVoteResp                          // response to MsgPreVote
+	MsgVote                                 // requests a vote
+	MsgVoteResp                             // response to MsgVote
 	MsgAppend                               // entries after (Index, LogTerm)
-	MsgAppendResp                           // answer to MsgAppend and MsgSnapshot
-	MsgHeartbeat                            // leader to all; Context confirms reads
-	MsgHeartbeatResp                        // answer to MsgHeartbeat
-	MsgSnapshot                             // state for a replica too far behind
-	MsgTimeoutNow                           // start an election at once
-	MsgPropose                              // a follower's proposal for the leader
-	MsgReadIndex                            // a follower asks for a read index
+	MsgAppendResp                           // response to MsgAppend and MsgSnapshot
+	MsgHeartbeat                            // sent by the leader; Context confirms reads
+	MsgHeartbeatResp                        // response to MsgHeartbeat
+	MsgSnapshot                             // snapshot for a replica that needs compacted entries
+	MsgTimeoutNow                           // tells a transfer target to start an election now
+	MsgPropose                              // a follower's proposal, forwarded to the leader
+	MsgReadIndex                            // a follower's request for a read index
 	MsgReadIndexResp                        // the read index for Context
 	messageTypeCount = iota + 1
 )
 
-var messageNames = [messageTypeCount]string{
+var messageTypeNames = [messageTypeCount]string{
 	"", "pre_vote", "pre_vote_resp", "vote", "vote_resp", "append", "append_resp", "heartbeat",
 	"heartbeat_resp", "snapshot", "timeout_now", "propose", "read_index", "read_index_resp",
 }
 
 // String returns the type's lower-case name.
 func (t MessageType) String() string {
-	if t > 0 && int(t) < len(messageNames) {
-		return messageNames[t]
+	if t > 0 && int(t) < len(messageTypeNames) {
+		return messageTypeNames[t]
 	}
 	return fmt.Sprintf("message(%d)", uint8(t))
 }
 
-// fromLeader reports whether only the leader of the message's term sends t.
-func (t MessageType) fromLeader() bool {
+// isLeaderOnly reports whether only the leader of a term sends messages of type t.
+func (t MessageType) isLeaderOnly() bool {
 	return t == MsgAppend || t == MsgHeartbeat || t == MsgSnapshot
 }
 
-// Message is what replicas tell each other.
+// Message is a message between two replicas.
 type Message struct {
 	Type    MessageType `cbor:"1,keyasint"`
 	Cluster ClusterID   `cbor:"2,keyasint"`
 	From    ReplicaID   `cbor:"3,keyasint"`
 	To      ReplicaID   `cbor:"4,keyasint"`
 	Term    uint64      `cbor:"5,keyasint,omitempty"`
-	// Index is the previous entry of an append, the last entry of a vote
-	// request, the last matching entry of a response, or a read index.
+	// Index is the entry before those of an append, the last log entry in a vote
+	// request, the last matching entry in a response, or a read index.
 	Index uint64 `cbor:"6,keyasint,omitempty"`
 	// LogTerm is the term of the entry at Index.
 	LogTerm uint64  `cbor:"7,keyasint,omitempty"`
 	Commit  uint64  `cbor:"8,keyasint,omitempty"`
 	Entries []Entry `cbor:"9,keyasint,omitempty"`
 	Reject  bool    `cbor:"10,keyasint,omitempty"`
-	// RejectHint and HintTerm are where a rejecting follower's log may still match.
+	// RejectHint and RejectHintTerm are the index and term of the last entry at
+	// which the log of a follower that rejects an append may match the leader's.
 	RejectHint     uint64 `cbor:"11,keyasint,omitempty"`
 	RejectHintTerm uint64 `cbor:"12,keyasint,omitempty"`
-	// Context ties heartbeats and reads to their answers.
+	// Context correlates heartbeats and read requests with their responses.
 	Context uint64 `cbor:"13,keyasint,omitempty"`
-	// LeadershipTransfer marks a vote request made at the leader's own wish, which
-	// replicas grant although they hear from that leader (thesis, 4.2.3).
+	// LeadershipTransfer marks a vote request that the leader initiated. Replicas
+	// grant it even while that leader is active (thesis, 4.2.3).
 	LeadershipTransfer bool      `cbor:"14,keyasint,omitempty"`
 	Snapshot           *Snapshot `cbor:"15,keyasint,omitempty"`
 }
--- a/core/quorum/progress.go
+++ b/core/quorum/progress.go
@@ -2,98 +2,101 @@
 
 import "fmt"
 
-// ProgressState is how the leader sends to one replica.
+// ProgressState is the mode in which the leader replicates to one replica.
 type ProgressState uint8
 
 // The states of a replica's progress.
 const (
-	// StateProbe sends one append at a time to find where the logs match.
+	// StateProbe sends one append at a time to find the last matching entry.
 	StateProbe ProgressState = iota
-	// StateReplicate sends appends ahead of their answers (thesis, 10.2.1).
+	// StateReplicate pipelines appends without waiting for responses (thesis,
+	// 10.2.1).
 	StateReplicate
-	// StateSnapshot waits until the replica has installed a snapshot.
+	// StateSnapshot waits until the replica has installed a snapshot and sends no
+	// appends.
 	StateSnapshot
 )
 
-var progressNames = [...]string{"probe", "replicate", "snapshot"}
+var progressStateNames = [...]string{"probe", "replicate", "snapshot"}
 
 // String returns the state's lower-case name.
 func (s ProgressState) String() string {
-	if int(s) < len(progressNames) {
-		return progressNames[s]
+	if int(s) < len(progressStateNames) {
+		return progressStateNames[s]
 	}
 	return fmt.Sprintf("progress(%d)", uint8(s))
 }
 
-// Progress is the leader's view of one replica (paper, figure 2: volatile
-// state on leaders).
+// Progress is the leader's replication state for one replica (paper, figure 2:
+// volatile state on leaders).
 type Progress struct {
 	ID    ReplicaID
-	Match uint64 // last entry known to be on the replica's disk
-	Next  uint64 // next entry to send
+	Match uint64 // index of the last entry known to be on the replica's disk
+	Next  uint64 // index of the next entry to send
 	State ProgressState
 	// RecentlyActive is set by any message from the replica and cleared by each
-	// check of the quorum.
+	// quorum check.
 	RecentlyActive bool
 
-	wasActive bool     // Active as of the last check of the quorum
-	probeSent bool     // an unanswered probe is out
-	inflight  []uint64 // last index of each unanswered append, in order
-	readAck   uint64   // newest heartbeat context answered
+	activeInPreviousWindow bool     // RecentlyActive at the last quorum check
+	probeSent              bool     // a probe awaits its response
+	inflightIndexes        []uint64 // last index of each unacknowledged append, in order
+	ackedReadRound         uint64   // latest heartbeat context acknowledged
 
-	snapshotIndex uint64
-	snapshotWait  int // ticks until the snapshot is sent again
-	snapshotTries int
+	snapshotIndex      uint64
+	snapshotRetryTicks int // ticks until the snapshot is resent
+	snapshotAttempts   int
 }
 
 func (p *Progress) becomeProbe() {
 	p.State = StateProbe
 	p.Next = p.Match + 1
 	p.probeSent = false
-	p.inflight = p.inflight[:0]
+	p.inflightIndexes = p.inflightIndexes[:0]
 }
 
 func (p *Progress) becomeReplicate() {
 	p.State = StateReplicate
 	p.Next = p.Match + 1
-	p.inflight = p.inflight[:0]
-	p.snapshotTries = 0
+	p.inflightIndexes = p.inflightIndexes[:0]
+	p.snapshotAttempts = 0
 }
 
-// becomeSnapshot backs off exponentially, since a snapshot may be large and
-// the link slow.
+// becomeSnapshot enters StateSnapshot. The retry delay doubles with each attempt,
+// since a snapshot may be large and the link slow.
 func (p *Progress) becomeSnapshot(index uint64, waitTicks int) {
 	p.State = StateSnapshot
 	p.snapshotIndex = index
-	p.snapshotWait = waitTicks << min(p.snapshotTries, maxSnapshotBackoff)
-	p.snapshotTries++
-	p.inflight = p.inflight[:0]
+	p.snapshotRetryTicks = waitTicks << min(p.snapshotAttempts, maxSnapshotBackoffShift)
+	p.snapshotAttempts++
+	p.inflightIndexes = p.inflightIndexes[:0]
 }
 
-const maxSnapshotBackoff = 5
+const maxSnapshotBackoffShift = 5
 
-// acknowledge notes that the replica holds index; it reports news.
-func (p *Progress) acknowledge(index uint64) bool {
+// advanceMatch records that the replica has stored the entries up to index. It
+// reports whether Match advanced.
+func (p *Progress) advanceMatch(index uint64) bool {
 	if index <= p.Match {
 		return false
 	}
 	p.Match = index
 	p.Next = max(p.Next, index+1)
 	n := 0
-	for n < len(p.inflight) && p.inflight[n] <= index {
+	for n < len(p.inflightIndexes) && p.inflightIndexes[n] <= index {
 		n++
 	}
-	p.inflight = p.inflight[n:]
+	p.inflightIndexes = p.inflightIndexes[n:]
 	return true
 }
 
-// paused reports whether nothing may be sent before the replica answers.
-func (p *Progress) paused(window int) bool {
+// isPaused reports whether the leader must await a response before it sends more.
+func (p *Progress) isPaused(window int) bool {
 	switch p.State {
 	case StateProbe:
 		return p.probeSent
 	case StateReplicate:
-		return len(p.inflight) >= window
+		return len(p.inflightIndexes) >= window
 	default:
 		return true
 	}
--- a/core/quorum/read.go
+++ b/core/quorum/read.go
@@ -2,33 +2,34 @@
 
 import "slices"
 
-// ReadState answers a ReadIndex: a read that sees state applied up to Index
-// sees every command answered before the read began.
+// ReadState is the result of a ReadIndex call. A read of the state applied up to
+// Index observes every command that completed before the read began.
 type ReadState struct {
 	Context uint64
 	Index   uint64
 }
 
-// pendingRead waits for a majority to confirm the leader.
+// pendingRead is a read that awaits confirmation of the leader by a majority.
 type pendingRead struct {
-	from     ReplicaID
-	context  uint64
-	index    uint64
-	sequence uint64
+	from    ReplicaID
+	context uint64
+	index   uint64
+	round   uint64
 }
 
-// readQueue is a leader's unanswered reads (thesis, 6.4).
+// readQueue holds a leader's outstanding reads (thesis, 6.4).
 type readQueue struct {
-	// waiting are reads before the first commit of the term.
-	waiting []pendingRead
-	// pending are reads in the order of their sequence.
-	pending  []pendingRead
-	sequence uint64 // of the newest heartbeat round that confirms reads
-	due      bool   // a round must be sent for the newest reads
+	// deferred holds reads received before the first commit of the term.
+	deferred []pendingRead
+	// unconfirmed holds reads ordered by round.
+	unconfirmed []pendingRead
+	round       uint64 // number of the latest heartbeat round that confirms reads
+	roundDue    bool   // the latest round has not been sent yet
 }
 
-// ReadIndex asks for a ReadState with the given context in a later Ready. A
-// follower asks the leader it knows. Requests may be lost; ask again then.
+// ReadIndex requests a ReadState with the given context, which a later Ready
+// returns. A follower forwards the request to its current leader. Requests may be
+// lost; the caller must retry.
 func (r *Replica) ReadIndex(context uint64) error {
 	if r.role == Leader {
 		r.addRead(pendingRead{from: r.id, context: context})
@@ -47,62 +48,64 @@
 	}
 }
 
-// addRead records the commit index, which is current only once an entry of
-// this term is committed.
+// addRead queues read at the current commit index. It defers the read until an
+// entry of this term is committed, since the commit index may be stale before.
 func (r *Replica) addRead(read pendingRead) {
 	if term, _ := r.log.term(r.log.committed); term != r.term {
-		r.reads.waiting = append(r.reads.waiting, read)
+		r.reads.deferred = append(r.reads.deferred, read)
 		return
 	}
-	if !r.reads.due {
-		r.reads.due = true
-		r.reads.sequence++
+	if !r.reads.roundDue {
+		r.reads.roundDue = true
+		r.reads.round++
 	}
 	read.index = r.log.committed
-	read.sequence = r.reads.sequence
-	r.reads.pending = append(r.reads.pending, read)
+	read.round = r.reads.round
+	r.reads.unconfirmed = append(r.reads.unconfirmed, read)
 }
 
-func (r *Replica) releaseWaitingReads() {
-	waiting := r.reads.waiting
-	r.reads.waiting = nil
-	for _, read := range waiting {
+func (r *Replica) admitDeferredReads() {
+	deferred := r.reads.deferred
+	r.reads.deferred = nil
+	for _, read := range deferred {
 		r.addRead(read)
 	}
 }
 
-// sendReadRound confirms the leader for all reads since the last round.
-func (r *Replica) sendReadRound() {
-	r.reads.due = false
+// startReadRound sends the heartbeats that confirm the leader for all reads since
+// the last round.
+func (r *Replica) startReadRound() {
+	r.reads.roundDue = false
 	r.sendHeartbeats()
-	r.releaseReads()
+	r.completeConfirmedReads()
 }
 
-// releaseReads answers the reads whose round a majority has answered.
-func (r *Replica) releaseReads() {
-	if len(r.reads.pending) == 0 {
+// completeConfirmedReads completes the reads whose round a majority has
+// acknowledged.
+func (r *Replica) completeConfirmedReads() {
+	if len(r.reads.unconfirmed) == 0 {
 		return
 	}
-	confirmed := r.log.membership().quorumIndex(r.readAck)
+	confirmed := r.log.membership().quorumIndex(r.ackedReadRound)
 	n := 0
-	for n < len(r.reads.pending) && r.reads.pending[n].sequence <= confirmed {
-		r.answerRead(r.reads.pending[n])
+	for n < len(r.reads.unconfirmed) && r.reads.unconfirmed[n].round <= confirmed {
+		r.completeRead(r.reads.unconfirmed[n])
 		n++
 	}
-	r.reads.pending = slices.Clone(r.reads.pending[n:])
+	r.reads.unconfirmed = slices.Clone(r.reads.unconfirmed[n:])
 }
 
-func (r *Replica) readAck(id ReplicaID) uint64 {
+func (r *Replica) ackedReadRound(id ReplicaID) uint64 {
 	if id == r.id {
-		return r.reads.sequence
+		return r.reads.round
 	}
-	if p := r.find(id); p != nil {
-		return p.readAck
+	if p := r.progressOf(id); p != nil {
+		return p.ackedReadRound
 	}
 	return 0
 }
 
-func (r *Replica) answerRead(read pendingRead) {
+func (r *Replica) completeRead(read pendingRead) {
 	if read.from == r.id {
 		r.readStates = append(r.readStates, ReadState{Context: read.context, Index: read.index})
 		return
--- a/core/quorum/ready.go
+++ b/core/quorum/ready.go
@@ -1,61 +1,63 @@
 package quorum
 
-// SoftState is who leads, as this replica knows it. It need not be saved.
+// SoftState is the replica's role and its knowledge of the current leader. It need
+// not be saved.
 type SoftState struct {
 	Role   Role
 	Leader ReplicaID
 	Term   uint64
 }
 
-// Ready is what the loop around a replica must do, in the order of the fields.
+// Ready lists the work for the caller's loop, in the order of the fields.
 type Ready struct {
 	// SoftState is set when it changed.
 	SoftState *SoftState
-	// ImmediateMessages may be sent before the rest is saved: a leader's appends
-	// overlap with its own write to disk (thesis, 10.2.1).
+	// ImmediateMessages may be sent before the state below is saved: a leader sends
+	// appends in parallel with its own write to disk (thesis, 10.2.1).
 	ImmediateMessages []Message
-	// Snapshot is set when a leader's snapshot replaces the log: save it,
-	// drop all entries and restore the state machine from it.
+	// Snapshot is set when a leader's snapshot replaces the log: save it, delete
+	// all entries and restore the state machine from it.
 	Snapshot *Snapshot
-	// Entries are to be saved; they replace any at or after the first's index.
+	// Entries must be saved. They replace any entries at or after the index of the
+	// first one.
 	Entries []Entry
 	// HardState is set when it changed. Save it together with Entries.
 	HardState *HardState
-	// MustSync is set when Messages depend on what is saved here. Without it
-	// a save that is lost does no harm.
+	// MustSync is set when Messages depend on the saved state being durable. If
+	// it is false, losing the save is harmless.
 	MustSync bool
-	// Messages are to be sent once all of the above is on disk.
+	// Messages must be sent only after all of the above is on disk.
 	Messages []Message
-	// CommittedEntries are to be applied in order.
+	// CommittedEntries must be applied to the state machine in order.
 	CommittedEntries []Entry
-	// ReadStates answer ReadIndex.
+	// ReadStates are the results of ReadIndex calls.
 	ReadStates []ReadState
 }
 
-// IsEmpty reports whether there is nothing to do.
+// IsEmpty reports whether the Ready contains no work.
 func (rd *Ready) IsEmpty() bool {
 	return rd.SoftState == nil && rd.HardState == nil && rd.Snapshot == nil &&
 		len(rd.ImmediateMessages) == 0 && len(rd.Entries) == 0 && len(rd.Messages) == 0 &&
 		len(rd.CommittedEntries) == 0 && len(rd.ReadStates) == 0
 }
 
-// Ready returns what is to be done now. Call Advance when it is done.
+// Ready returns the outstanding work. Call Advance after completing it.
 func (r *Replica) Ready() Ready {
 	if r.role == Leader {
-		r.flush()
+		r.queueDueMessages()
 	}
 	rd := Ready{
-		Snapshot:         r.newSnapshot,
-		Entries:          r.log.between(r.log.stable, r.log.lastIndex()),
-		CommittedEntries: r.log.between(r.log.applied, r.log.committed),
+		Snapshot:         r.unsavedSnapshot,
+		Entries:          r.log.entriesBetween(r.log.stable, r.log.lastIndex()),
+		CommittedEntries: r.log.entriesBetween(r.log.applied, r.log.committed),
 		ReadStates:       r.readStates,
 	}
-	if hard := r.hardState(); hard != r.saved {
+	if hard := r.hardState(); hard != r.savedHardState {
 		rd.HardState = &hard
-		rd.MustSync = hard.Term != r.saved.Term || hard.Vote != r.saved.Vote || hard.Cluster != r.saved.Cluster
+		rd.MustSync = hard.Term != r.savedHardState.Term || hard.Vote != r.savedHardState.Vote || hard.Cluster != r.savedHardState.Cluster
 	}
 	rd.MustSync = rd.MustSync || len(rd.Entries) > 0 || rd.Snapshot != nil
-	if soft := r.softState(); soft != r.savedSoft {
+	if soft := r.softState(); soft != r.reportedSoftState {
 		rd.SoftState = &soft
 	}
 	rd.ImmediateMessages, rd.Messages = r.splitMessages()
@@ -64,42 +66,43 @@
 	return rd
 }
 
-// flush turns the news since the last Ready into as few messages as possible.
-func (r *Replica) flush() {
+// queueDueMessages queues the appends and read heartbeats that became due since
+// the last Ready, batched into as few messages as possible.
+func (r *Replica) queueDueMessages() {
 	if r.appendsDue {
 		r.sendAppends()
 	}
-	if r.reads.due {
-		r.sendReadRound()
+	if r.reads.roundDue {
+		r.startReadRound()
 	}
 }
 
-// splitMessages separates those that promise nothing about this disk. In a
-// term that is not on disk yet none does.
-func (r *Replica) splitMessages() (early, late []Message) {
-	if r.saved.Term != r.term {
+// splitMessages separates the messages that do not depend on the state to be
+// saved. While the current term is not on disk, all messages depend on it.
+func (r *Replica) splitMessages() (immediate, afterSave []Message) {
+	if r.savedHardState.Term != r.term {
 		return nil, r.messages
 	}
 	for i := range r.messages {
-		if r.messages[i].Type.fromLeader() {
-			early = append(early, r.messages[i])
+		if r.messages[i].Type.isLeaderOnly() {
+			immediate = append(immediate, r.messages[i])
 		} else {
-			late = append(late, r.messages[i])
+			afterSave = append(afterSave, r.messages[i])
 		}
 	}
-	return early, late
+	return immediate, afterSave
 }
 
-// Advance tells that rd was carried out.
+// Advance reports that the caller has completed the work in rd.
 func (r *Replica) Advance(rd Ready) {
 	if rd.HardState != nil {
-		r.saved = *rd.HardState
+		r.savedHardState = *rd.HardState
 	}
 	if rd.SoftState != nil {
-		r.savedSoft = *rd.SoftState
+		r.reportedSoftState = *rd.SoftState
 	}
-	if rd.Snapshot == r.newSnapshot {
-		r.newSnapshot = nil
+	if rd.Snapshot == r.unsavedSnapshot {
+		r.unsavedSnapshot = nil
 	}
 	if n := len(rd.Entries); n > 0 {
 		r.log.stable = rd.Entries[n-1].Index
@@ -123,17 +126,17 @@
 	Role          Role
 	Leader        ReplicaID
 	Term          uint64
-	LastIndex     uint64 // last entry of the log
+	LastIndex     uint64 // index of the last log entry
 	CommitIndex   uint64
 	AppliedIndex  uint64
-	SnapshotIndex uint64 // last entry in the latest snapshot
+	SnapshotIndex uint64 // index of the last entry in the latest snapshot
 	Membership    Membership
-	// SnapshotMembership is the membership of the latest snapshot.
+	// SnapshotMembership is the membership in the latest snapshot.
 	SnapshotMembership Membership
 	Progress           []Progress // leader only
 }
 
-// Membership returns the membership in force.
+// Membership returns the active membership.
 func (r *Replica) Membership() Membership { return r.log.membership() }
 
 // Status returns a copy of the replica's state.
--- a/core/quorum/replica.go
+++ b/core/quorum/replica.go
@@ -8,7 +8,7 @@
 	"github.com/joomcode/errorx"
 )
 
-// Role is what a replica does in the current term.
+// Role is the role of a replica in the current term.
 type Role uint8
 
 // The roles (paper, section 5.1).
@@ -24,25 +24,25 @@
 // String returns the role's lower-case name.
 func (r Role) String() string { return roleNames[r] }
 
-// Config is what a Replica is made of.
+// Config configures a Replica.
 type Config struct {
-	// ID is the replica's identity, new for each disk life.
+	// ID identifies the replica. Each new disk requires a new ID.
 	ID ReplicaID
-	// ElectionTicks is the shortest time without a leader before an election.
-	// Each wait is drawn between it and twice as much.
+	// ElectionTicks is the minimum election timeout. Each timeout is chosen at
+	// random between it and twice its value.
 	ElectionTicks int
-	// HeartbeatTicks is the time between heartbeats, well under ElectionTicks.
+	// HeartbeatTicks is the heartbeat interval. It must be well below ElectionTicks.
 	HeartbeatTicks int
-	// MaxAppendBytes bounds the entries in one message, unless one alone is
-	// larger.
+	// MaxAppendBytes limits the size of the entries in one message. A single entry
+	// may exceed it.
 	MaxAppendBytes int
-	// MaxInflight is the number of unanswered appends per replica.
+	// MaxInflight is the maximum number of unacknowledged appends per replica.
 	MaxInflight int
-	// Rand draws election timeouts.
+	// Rand is the source of the random election timeouts.
 	Rand *rand.Rand
-	// HardState, Snapshot and Entries are what the disk holds. A replica that
-	// starts a cluster has a Snapshot with itself as the only voter; one that
-	// waits to be added has none.
+	// HardState, Snapshot and Entries are the saved state. The Snapshot of a
+	// replica that starts a cluster has that replica as the only voter; a replica
+	// that waits to be added has none.
 	HardState HardState
 	Snapshot  Snapshot
 	Entries   []Entry
@@ -56,7 +56,8 @@
 	DefaultMaxInflight    = 64
 )
 
-// Replica is one member of the cluster, or a candidate for it.
+// Replica is the Raft state machine of one member, or prospective member, of the
+// cluster.
 type Replica struct {
 	config  Config
 	id      ReplicaID
@@ -71,27 +72,27 @@
 	electionTimeout  int
 	heartbeatElapsed int
 
-	votes    map[ReplicaID]bool // answers of the running election
-	progress []*Progress        // leader only, sorted by ID, without itself
-	transfer ReplicaID          // target of a leadership transfer, or 0
+	votes          map[ReplicaID]bool // responses in the current election
+	progress       []*Progress        // leader only: the other members, sorted by ID
+	transferTarget ReplicaID          // target of the current leadership transfer, or 0
 
-	reads       readQueue
-	readStates  []ReadState
-	messages    []Message
-	appendsDue  bool      // the leader has news for its followers
-	newSnapshot *Snapshot // received and not on disk yet
+	reads           readQueue
+	readStates      []ReadState
+	messages        []Message
+	appendsDue      bool      // leader only: new entries or a new commit index to send
+	unsavedSnapshot *Snapshot // received, but not yet on disk
 
-	saved     HardState // as of the last Advance
-	savedSoft SoftState
+	savedHardState    HardState // as of the last Advance
+	reportedSoftState SoftState
 }
 
-// New returns a replica that continues from what the disk holds.
+// New returns a replica that resumes from the saved state in c.
 func New(c Config) (*Replica, error) {
 	if c.ID == 0 {
 		return nil, errorx.IllegalArgument.New("replica ID is zero")
 	}
 	if c.Rand == nil {
-		return nil, errorx.IllegalArgument.New("no source of randomness")
+		return nil, errorx.IllegalArgument.New("Rand is nil")
 	}
 	c.ElectionTicks = cmp.Or(c.ElectionTicks, DefaultElectionTicks)
 	c.HeartbeatTicks = cmp.Or(c.HeartbeatTicks, DefaultHeartbeatTicks)
@@ -105,10 +106,10 @@
 		return nil, ErrInvalidState.New("snapshot with a membership is at entry 0")
 	}
 	if c.HardState.Commit > log.lastIndex() {
-		return nil, ErrInvalidState.New("entry %d is committed and the log ends at %d", c.HardState.Commit, log.lastIndex())
+		return nil, ErrInvalidState.New("entry %d is committed, but the log ends at entry %d", c.HardState.Commit, log.lastIndex())
 	}
 	if c.HardState.Term < log.lastTerm() {
-		return nil, ErrInvalidState.New("term is %d and the log has term %d", c.HardState.Term, log.lastTerm())
+		return nil, ErrInvalidState.New("saved term %d is less than the log's last term %d", c.HardState.Term, log.lastTerm())
 	}
 	log.committed = max(log.committed, c.HardState.Commit)
 	r := &Replica{
@@ -116,13 +117,13 @@
 		term: c.HardState.Term, vote: c.HardState.Vote, log: log,
 	}
 	r.config.Entries = nil
-	r.saved = r.hardState()
+	r.savedHardState = r.hardState()
 	r.becomeFollower(r.term, 0)
-	r.electionTimeout = 1 // there may be nobody to wait for
+	r.electionTimeout = 1 // after a restart there may be no leader to wait for
 	return r, nil
 }
 
-// Tick lets one unit of time pass.
+// Tick advances the replica's logical clock by one tick.
 func (r *Replica) Tick() {
 	r.electionElapsed++
 	if r.role == Leader {
@@ -134,13 +135,13 @@
 	}
 }
 
-// Step takes a message from another replica. An error says why it was
-// refused; the replica is unchanged then.
+// Step processes a message from another replica. An error states why the message
+// was rejected.
 func (r *Replica) Step(m Message) error {
-	if err := r.accept(m); err != nil {
+	if err := r.checkRecipient(m); err != nil {
 		return err
 	}
-	if p := r.find(m.From); p != nil {
+	if p := r.progressOf(m.From); p != nil {
 		p.RecentlyActive = true
 	}
 	switch {
@@ -150,39 +151,39 @@
 		r.stepReadIndex(m)
 		return nil
 	case m.Term < r.term:
-		r.answerStale(m)
+		r.rejectStaleTerm(m)
 		return nil
-	case m.Term > r.term && !r.enterTerm(m):
+	case m.Term > r.term && !r.adoptTerm(m):
 		return nil
 	}
 	if m.Type == MsgHeartbeat && m.Commit > r.log.lastIndex() {
-		return ErrLogRolledBack.New("replica %s acknowledged entry %d and its log ends at %d", r.id, m.Commit, r.log.lastIndex())
+		return ErrLogRolledBack.New("replica %s acknowledged entry %d, but its log ends at entry %d", r.id, m.Commit, r.log.lastIndex())
 	}
 	r.dispatch(m)
 	return nil
 }
 
-// accept checks whom m is for. A replica without a cluster joins that of the
-// first leader that addresses it.
-func (r *Replica) accept(m Message) error {
+// checkRecipient checks that m is addressed to this replica and cluster. A replica
+// without a cluster joins the cluster of the first leader that sends it a message.
+func (r *Replica) checkRecipient(m Message) error {
 	if m.To != r.id {
-		return ErrWrongRecipient.New("%s message for replica %s reached %s", m.Type, m.To, r.id)
+		return ErrWrongRecipient.New("%s message for replica %s received by replica %s", m.Type, m.To, r.id)
 	}
-	if r.cluster == 0 && m.Cluster != 0 && m.Type.fromLeader() {
+	if r.cluster == 0 && m.Cluster != 0 && m.Type.isLeaderOnly() {
 		r.cluster = m.Cluster
 	}
 	if m.Cluster != r.cluster {
-		return ErrClusterMismatch.New("%s message of cluster %s reached cluster %s", m.Type, m.Cluster, r.cluster)
+		return ErrClusterMismatch.New("%s message of cluster %s received in cluster %s", m.Type, m.Cluster, r.cluster)
 	}
 	return nil
 }
 
-// enterTerm moves to the greater term of m; false drops m.
-func (r *Replica) enterTerm(m Message) bool {
+// adoptTerm adopts the greater term of m. It returns false if m must be ignored.
+func (r *Replica) adoptTerm(m Message) bool {
 	switch m.Type {
 	case MsgPreVote, MsgVote:
-		if r.hearsLeader() && !m.LeadershipTransfer {
-			return false // thesis, 4.2.3: a live leader is not disturbed
+		if r.hasLiveLeader() && !m.LeadershipTransfer {
+			return false // thesis, 4.2.3: do not disrupt a live leader
 		}
 		if m.Type == MsgPreVote {
 			return true
@@ -193,17 +194,18 @@
 		}
 	}
 	leader := ReplicaID(0)
-	if m.Type.fromLeader() {
+	if m.Type.isLeaderOnly() {
 		leader = m.From
 	}
 	r.becomeFollower(m.Term, leader)
 	return true
 }
 
-// answerStale tells a sender of an older term about this one.
-func (r *Replica) answerStale(m Message) {
+// rejectStaleTerm rejects a message of an older term; the response carries the
+// current term.
+func (r *Replica) rejectStaleTerm(m Message) {
 	switch {
-	case m.Type.fromLeader():
+	case m.Type.isLeaderOnly():
 		r.send(Message{Type: MsgAppendResp, To: m.From, Reject: true})
 	case m.Type == MsgPreVote:
 		r.send(Message{Type: MsgPreVoteResp, To: m.From, Reject: true})
@@ -219,13 +221,13 @@
 	case MsgPreVoteResp, MsgVoteResp:
 		r.stepVoteResp(m)
 	case MsgAppend:
-		r.follow(m)
+		r.followLeader(m)
 		r.stepAppend(m)
 	case MsgHeartbeat:
-		r.follow(m)
+		r.followLeader(m)
 		r.stepHeartbeat(m)
 	case MsgSnapshot:
-		r.follow(m)
+		r.followLeader(m)
 		r.stepSnapshot(m)
 	case MsgAppendResp:
 		r.stepAppendResp(m)
@@ -238,15 +240,16 @@
 	}
 }
 
-// follow accepts the sender as the leader of this term.
-func (r *Replica) follow(m Message) {
+// followLeader accepts the sender of m as the leader of this term.
+func (r *Replica) followLeader(m Message) {
 	if r.role != Follower || r.leader != m.From {
 		r.becomeFollower(r.term, m.From)
 	}
 	r.electionElapsed = 0
 }
 
-// send queues m with this replica's identity and, unless set, its term.
+// send queues m with this replica's ID and cluster and, unless m has a term or
+// is of a type without one, the current term.
 func (r *Replica) send(m Message) {
 	m.From = r.id
 	m.Cluster = r.cluster
@@ -256,8 +259,9 @@
 	r.messages = append(r.messages, m)
 }
 
-// find returns the progress of another replica, nil unless leader.
-func (r *Replica) find(id ReplicaID) *Progress {
+// progressOf returns the progress of another replica, or nil if there is none or
+// this replica is not the leader.
+func (r *Replica) progressOf(id ReplicaID) *Progress {
 	i := slices.IndexFunc(r.progress, func(p *Progress) bool { return p.ID == id })
 	if i < 0 {
 		return nil
--- a/core/quorum/replication.go
+++ b/core/quorum/replication.go
@@ -1,13 +1,13 @@
 package quorum
 
-// Propose asks that data become the next command. A follower passes it to the
-// leader it knows. number names the proposal: the entry that comes of it
-// carries this replica's ID and number. No error means no more than that it
-// was sent; it may be lost, or, where the transport duplicates, apply twice.
+// Propose proposes data as the next command. A follower forwards it to its current
+// leader. The resulting entry carries this replica's ID and number, which identify
+// the proposal. A nil error only means that the proposal was sent: it may be lost
+// or, if the transport duplicates messages, applied twice.
 func (r *Replica) Propose(number uint64, data []byte) error {
 	e := Entry{Kind: EntryCommand, Data: data, Proposer: r.id, ProposalID: number}
 	if r.role == Leader {
-		return r.accepts(e)
+		return r.appendProposal(e)
 	}
 	if r.leader == 0 {
 		return r.notLeader()
@@ -24,49 +24,49 @@
 		if m.Entries[i].Kind != EntryCommand {
 			continue
 		}
-		if err := r.accepts(m.Entries[i]); err != nil {
+		if err := r.appendProposal(m.Entries[i]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (r *Replica) accepts(e Entry) error {
-	if r.transfer != 0 {
-		return ErrLeadershipTransfer.New("leadership moves to replica %s", r.transfer)
+func (r *Replica) appendProposal(e Entry) error {
+	if r.transferTarget != 0 {
+		return ErrLeadershipTransfer.New("leadership is being transferred to replica %s", r.transferTarget)
 	}
-	r.propose(e)
+	r.appendEntry(e)
 	return nil
 }
 
-// propose appends e to the leader's log; Ready sends it.
-func (r *Replica) propose(e Entry) {
+// appendEntry appends e to the leader's log. The next Ready sends it to followers.
+func (r *Replica) appendEntry(e Entry) {
 	e.Term = r.term
 	e.Index = r.log.lastIndex() + 1
-	r.log.push(e)
+	r.log.appendEntry(e)
 	r.appendsDue = true
 }
 
-// sendAppends fills each replica's window.
+// sendAppends sends an append to each replica and fills its in-flight window.
 func (r *Replica) sendAppends() {
 	r.appendsDue = false
 	for _, p := range r.progress {
 		r.sendAppend(p, true)
-		r.fill(p)
+		r.fillWindow(p)
 	}
 }
 
-// fill sends entries until the window is full.
-func (r *Replica) fill(p *Progress) {
-	for p.State == StateReplicate && p.Next <= r.log.lastIndex() && !p.paused(r.config.MaxInflight) {
+// fillWindow sends entries to p until its in-flight window is full.
+func (r *Replica) fillWindow(p *Progress) {
+	for p.State == StateReplicate && p.Next <= r.log.lastIndex() && !p.isPaused(r.config.MaxInflight) {
 		r.sendAppend(p, false)
 	}
 }
 
-// sendAppend sends the entries from p.Next on, or a snapshot if they are gone.
-// An append without entries is sent only if empty is set.
-func (r *Replica) sendAppend(p *Progress, empty bool) {
-	if p.paused(r.config.MaxInflight) {
+// sendAppend sends the entries from p.Next on, or a snapshot if they were
+// compacted. It sends an append without entries only if allowEmpty is set.
+func (r *Replica) sendAppend(p *Progress, allowEmpty bool) {
+	if p.isPaused(r.config.MaxInflight) {
 		return
 	}
 	term, ok := r.log.term(p.Next - 1)
@@ -74,8 +74,8 @@
 		r.sendSnapshot(p)
 		return
 	}
-	entries := r.log.from(p.Next, r.config.MaxAppendBytes)
-	if len(entries) == 0 && !empty {
+	entries := r.log.entriesFrom(p.Next, r.config.MaxAppendBytes)
+	if len(entries) == 0 && !allowEmpty {
 		return
 	}
 	r.send(Message{
@@ -88,37 +88,38 @@
 	}
 	if len(entries) > 0 {
 		last := entries[len(entries)-1].Index
-		p.inflight = append(p.inflight, last)
+		p.inflightIndexes = append(p.inflightIndexes, last)
 		p.Next = last + 1
 	}
 }
 
-// stepAppend stores a leader's entries (paper, figure 2: AppendEntries).
+// stepAppend appends entries from the leader (paper, figure 2: AppendEntries).
 func (r *Replica) stepAppend(m Message) {
-	if !contiguous(m) {
+	if !hasContiguousEntries(m) {
 		return
 	}
-	answer := Message{Type: MsgAppendResp, To: m.From}
+	response := Message{Type: MsgAppendResp, To: m.From}
 	if m.Index < r.log.committed {
-		answer.Index = r.log.committed
-		r.send(answer)
+		response.Index = r.log.committed
+		r.send(response)
 		return
 	}
-	if !r.log.matches(m.Index, m.LogTerm) {
-		answer.Reject = true
-		answer.Index = m.Index
-		answer.RejectHint, answer.RejectHintTerm = r.log.lastAtMost(m.Index, m.LogTerm)
-		r.send(answer)
+	if !r.log.hasEntry(m.Index, m.LogTerm) {
+		response.Reject = true
+		response.Index = m.Index
+		response.RejectHint, response.RejectHintTerm = r.log.findConflictByTerm(m.Index, m.LogTerm)
+		r.send(response)
 		return
 	}
 	r.log.merge(m.Entries)
-	answer.Index = m.Index + uint64(len(m.Entries))
-	r.commitTo(min(m.Commit, answer.Index))
-	r.send(answer)
+	response.Index = m.Index + uint64(len(m.Entries))
+	r.commitTo(min(m.Commit, response.Index))
+	r.send(response)
 }
 
-// contiguous reports whether the entries of m follow each other from m.Index.
-func contiguous(m Message) bool {
+// hasContiguousEntries reports whether the entries of m have consecutive indexes
+// that start after m.Index.
+func hasContiguousEntries(m Message) bool {
 	for i := range m.Entries {
 		if m.Entries[i].Index != m.Index+uint64(i)+1 {
 			return false
@@ -127,82 +128,84 @@
 	return true
 }
 
-// commitTo never goes back, nor beyond what is known to match the leader.
+// commitTo advances the commit index and never decreases it. index must not exceed
+// the last entry known to match the leader's log.
 func (r *Replica) commitTo(index uint64) {
 	r.log.committed = max(r.log.committed, index)
 }
 
 func (r *Replica) stepAppendResp(m Message) {
-	p := r.find(m.From)
+	p := r.progressOf(m.From)
 	if r.role != Leader || p == nil {
 		return
 	}
 	if m.Reject {
-		r.stepBack(p, m)
+		r.backtrack(p, m)
 		return
 	}
-	news := p.acknowledge(m.Index)
+	advanced := p.advanceMatch(m.Index)
 	if p.State == StateProbe || p.State == StateSnapshot && p.Match >= p.snapshotIndex {
 		p.becomeReplicate()
 	}
-	if !news {
+	if !advanced {
 		return
 	}
 	r.advanceCommit()
 	if r.role != Leader {
 		return
 	}
-	r.fill(p)
-	r.finishTransfer(p)
+	r.fillWindow(p)
+	r.tryCompleteTransfer(p)
 }
 
-// stepBack moves p to where the logs may match (paper, section 5.3: the
-// follower's hint skips a whole term per round).
-func (r *Replica) stepBack(p *Progress, m Message) {
+// backtrack moves p.Next back to the last entry at which the logs may match. The
+// follower's hint skips a whole term per round trip (paper, section 5.3).
+func (r *Replica) backtrack(p *Progress, m Message) {
 	stale := m.Index <= p.Match || p.State == StateSnapshot ||
 		p.State == StateProbe && m.Index != p.Next-1
 	if stale {
 		return
 	}
-	next, _ := r.log.lastAtMost(m.RejectHint, m.RejectHintTerm)
+	next, _ := r.log.findConflictByTerm(m.RejectHint, m.RejectHintTerm)
 	p.becomeProbe()
 	p.Next = max(min(next, m.Index-1), p.Match) + 1
 	r.sendAppend(p, true)
 }
 
-// advanceCommit commits what a majority has on disk, counting entries of the
-// leader's own term only (paper, section 5.4.2).
+// advanceCommit advances the commit index to the last entry that a majority has on
+// disk, if that entry is of the leader's term (paper, section 5.4.2).
 func (r *Replica) advanceCommit() {
-	index := r.log.membership().quorumIndex(r.onDisk)
+	index := r.log.membership().quorumIndex(r.persistedIndex)
 	term, ok := r.log.term(index)
 	if index <= r.log.committed || !ok || term != r.term {
 		return
 	}
 	r.commitTo(index)
 	r.appendsDue = true
-	r.releaseWaitingReads()
-	if _, member := r.log.membership().Find(r.id); !member && r.log.configIndex() <= index {
-		// Thesis, 4.2.2: a leader that removed itself leads until then.
+	r.admitDeferredReads()
+	if _, member := r.log.membership().Find(r.id); !member && r.log.membershipIndex() <= index {
+		// Thesis, 4.2.2: a leader that removes itself leads until the change is
+		// committed.
 		r.sendAppends()
 		r.becomeFollower(r.term, 0)
 	}
 }
 
-func (r *Replica) onDisk(id ReplicaID) uint64 {
+func (r *Replica) persistedIndex(id ReplicaID) uint64 {
 	if id == r.id {
 		return r.log.stable
 	}
-	if p := r.find(id); p != nil {
+	if p := r.progressOf(id); p != nil {
 		return p.Match
 	}
 	return 0
 }
 
-// sendHeartbeats also carries the newest read context.
+// sendHeartbeats sends a heartbeat with the latest read round to each replica.
 func (r *Replica) sendHeartbeats() {
 	for _, p := range r.progress {
 		r.send(Message{
-			Type: MsgHeartbeat, To: p.ID, Context: r.reads.sequence,
+			Type: MsgHeartbeat, To: p.ID, Context: r.reads.round,
 			Commit: min(r.log.committed, p.Match),
 		})
 	}
@@ -213,22 +216,23 @@
 	r.send(Message{Type: MsgHeartbeatResp, To: m.From, Context: m.Context})
 }
 
-// stepHeartbeatResp sends again what may have been lost: a replica that
-// answers heartbeats is worth a probe, one that is silent costs heartbeats only.
+// stepHeartbeatResp resends entries that may have been lost. Probes are sent only
+// to replicas that respond to heartbeats; an unresponsive replica costs no more
+// than its heartbeats.
 func (r *Replica) stepHeartbeatResp(m Message) {
-	p := r.find(m.From)
+	p := r.progressOf(m.From)
 	if r.role != Leader || p == nil {
 		return
 	}
-	p.readAck = max(p.readAck, m.Context)
-	r.releaseReads()
+	p.ackedReadRound = max(p.ackedReadRound, m.Context)
+	r.completeConfirmedReads()
 	if p.Match >= r.log.lastIndex() {
 		return
 	}
 	p.probeSent = false
-	if p.State == StateReplicate && p.paused(r.config.MaxInflight) {
-		// The window is full of appends whose answers were lost.
-		p.inflight = p.inflight[1:]
+	if p.State == StateReplicate && p.isPaused(r.config.MaxInflight) {
+		// The window is full of appends whose responses may have been lost.
+		p.inflightIndexes = p.inflightIndexes[1:]
 	}
 	r.sendAppend(p, true)
 }
--- a/core/quorum/schedule_test.go
+++ b/core/quorum/schedule_test.go
@@ -8,80 +8,81 @@
 	"testing"
 )
 
-// scheduleSteps is the length of one random schedule before it heals.
+// scheduleSteps is the number of steps of a random schedule before its faults end.
 const scheduleSteps = 400
 
-// runSchedule returns what went wrong under the faults drawn from seed.
+// runSchedule runs the random schedule with the given seed and returns the failures.
 func runSchedule(seed uint64) []string {
 	s := newSim(seed, 3+2*int(seed%2))
-	s.loss, s.dup, s.delay = s.rnd.Float64()*0.3, s.rnd.Float64()*0.2, s.rnd.IntN(6)
+	s.loss, s.duplication, s.delay = s.rng.Float64()*0.3, s.rng.Float64()*0.2, s.rng.IntN(6)
 	for _, n := range s.nodes {
-		n.speed = 0.7 + s.rnd.Float64()*0.6
+		n.clockRate = 0.7 + s.rng.Float64()*0.6
 	}
 	for range scheduleSteps {
-		n := s.nodes[s.rnd.IntN(len(s.nodes))]
-		s.disturb(n)
+		n := s.nodes[s.rng.IntN(len(s.nodes))]
+		s.injectFault(n)
 		if n.r != nil {
-			s.operate(n)
+			s.issueRequest(n)
 		}
 		s.step()
-		if len(s.errs) > 0 {
-			return s.errs
+		if len(s.failures) > 0 {
+			return s.failures
 		}
 	}
 	s.heal()
-	return s.errs
+	return s.failures
 }
 
-// disturb causes a fault at n now and then.
-func (s *sim) disturb(n *node) {
-	switch dice := s.rnd.IntN(300); {
-	case dice < 4 && n.r != nil:
-		if dice == 0 {
+// injectFault causes a random fault at n with a small probability.
+func (s *sim) injectFault(n *node) {
+	switch roll := s.rng.IntN(300); {
+	case roll < 4 && n.r != nil:
+		if roll == 0 {
 			s.propose(n)
 		}
-		s.pump(n, 1+dice%2)
+		s.processReady(n, 1+roll%2)
 		if n.r != nil {
 			s.crash(n)
 		}
-	case dice < 14 && n.r == nil:
+	case roll < 14 && n.r == nil:
 		s.start(n)
-	case dice < 18:
-		other := s.nodes[s.rnd.IntN(len(s.nodes))]
-		s.blocked[[2]ReplicaID{n.id, other.id}] = true // one way
-	case dice < 20:
+	case roll < 18:
+		other := s.nodes[s.rng.IntN(len(s.nodes))]
+		s.blocked[[2]ReplicaID{n.id, other.id}] = true // one direction only
+	case roll < 20:
 		for _, other := range s.nodes {
 			s.blocked[[2]ReplicaID{n.id, other.id}] = true
 			s.blocked[[2]ReplicaID{other.id, n.id}] = true
 		}
-	case dice < 26:
+	case roll < 26:
 		s.blocked = map[[2]ReplicaID]bool{}
-	case dice < 28 && s.lost == 0:
-		s.lost = n.id
-		s.wipe(n)
-	case dice < 30:
-		n.speed = float64(s.rnd.IntN(4)) / 2 // 0 is a paused VM
-	case dice < 60:
+	case roll < 28 && s.lostID == 0:
+		s.lostID = n.id
+		s.replaceDisk(n)
+	case roll < 30:
+		n.clockRate = float64(s.rng.IntN(4)) / 2 // 0 is a paused VM
+	case roll < 60:
 		s.repair()
 	}
 }
 
-// operate lets a user act on n now and then.
-func (s *sim) operate(n *node) {
-	switch dice := s.rnd.IntN(100); {
-	case dice < 30:
+// issueRequest issues a random user or operator request to n.
+func (s *sim) issueRequest(n *node) {
+	switch roll := s.rng.IntN(100); {
+	case roll < 30:
 		s.propose(n)
-	case dice < 45:
+	case roll < 45:
 		s.read(n)
-	case dice < 47:
+	case roll < 47:
 		s.compact(n)
-	case dice < 48:
-		_ = n.r.TransferLeadership(s.nodes[s.rnd.IntN(len(s.nodes))].id)
+	case roll < 48:
+		_ = n.r.TransferLeadership(s.nodes[s.rng.IntN(len(s.nodes))].id)
 	}
 }
 
-// TestSchedules runs seeded random schedules. QUORUM_SCHEDULES sets how many,
-// QUORUM_FIRST_SEED where to start.
+// TestSchedules runs random schedules of faults and requests. QUORUM_SCHEDULES sets
+// their number, QUORUM_FIRST_SEED the first seed and QUORUM_WORKERS the number that
+// run concurrently.
 func TestSchedules(t *testing.T) {
 	count, first := envNumber("QUORUM_SCHEDULES", 300), envNumber("QUORUM_FIRST_SEED", 1)
 	workers := envNumber("QUORUM_WORKERS", 2)
@@ -105,10 +106,10 @@
 	wg.Wait()
 }
 
-func envNumber(name string, otherwise uint64) uint64 {
+func envNumber(name string, defaultValue uint64) uint64 {
 	n, err := strconv.ParseUint(os.Getenv(name), 10, 64)
 	if err != nil {
-		return otherwise
+		return defaultValue
 	}
 	return n
 }
--- a/core/quorum/sim_test.go
+++ b/core/quorum/sim_test.go
@@ -8,7 +8,7 @@
 	"github.com/joomcode/errorx"
 )
 
-// disk is a fake that loses what was not synced.
+// disk is a fake disk that loses unsynced state in a crash.
 type disk struct {
 	hard, synced HardState
 	snapshot     Snapshot
@@ -35,64 +35,65 @@
 	}
 }
 
-// read is a ReadIndex in progress.
-type read struct{ floor, index uint64 }
+// pendingSimRead is a ReadIndex call in progress. floor is sim.maxObserved at its
+// start.
+type pendingSimRead struct{ floor, index uint64 }
 
-// node is one replica with its fake disk and a state machine that keeps the
-// numbers of the applied entries.
+// node is one replica with a fake disk and a state machine whose state is a digest
+// of the applied entries.
 type node struct {
-	id      ReplicaID
-	disk    disk
-	r       *Replica
-	applied uint64
-	digest  uint64 // of every applied entry in order
-	speed   float64
-	clock   float64
-	started map[uint64]uint64 // proposal number -> floor
-	reads   map[uint64]read
+	id             ReplicaID
+	disk           disk
+	r              *Replica
+	applied        uint64
+	digest         uint64 // over all applied entries in order
+	clockRate      float64
+	clock          float64
+	proposalFloors map[uint64]uint64 // by proposal ID: sim.maxObserved at the proposal
+	reads          map[uint64]pendingSimRead
 }
 
-type packet struct {
-	due int
-	m   Message
+type scheduledMessage struct {
+	due     int
+	message Message
 }
 
 // sim drives replicas over a lossy network and checks the safety properties
 // (paper, figure 3) at every step.
 type sim struct {
-	rnd     *rand.Rand
-	now     int
-	nodes   []*node
-	network []packet
-	blocked map[[2]ReplicaID]bool
-	loss    float64
-	dup     float64
-	delay   int
+	rng         *rand.Rand
+	now         int
+	nodes       []*node
+	network     []scheduledMessage
+	blocked     map[[2]ReplicaID]bool
+	loss        float64
+	duplication float64
+	delay       int
 
-	number  uint64
-	leaders map[uint64]ReplicaID // by term
-	log     map[uint64]Entry     // every applied entry, by index
-	digests map[uint64]uint64
-	floor   uint64 // greatest index that a finished operation has seen
-	acked   map[uint64]uint64
-	lost    ReplicaID // identity whose disk is gone
-	errs    []string
+	lastProposalID uint64
+	leaders        map[uint64]ReplicaID // by term
+	appliedEntries map[uint64]Entry     // by index
+	digests        map[uint64]uint64
+	maxObserved    uint64 // greatest index observed by a completed operation
+	ackedCommands  map[uint64]uint64
+	lostID         ReplicaID // replica whose disk was lost and that awaits removal, or 0
+	failures       []string
 }
 
 const simCluster ClusterID = 7
 
 func newSim(seed uint64, replicas int) *sim {
 	s := &sim{
-		rnd: rand.New(rand.NewPCG(seed, 1)), blocked: map[[2]ReplicaID]bool{},
-		leaders: map[uint64]ReplicaID{}, log: map[uint64]Entry{}, digests: map[uint64]uint64{},
-		acked: map[uint64]uint64{},
+		rng: rand.New(rand.NewPCG(seed, 1)), blocked: map[[2]ReplicaID]bool{},
+		leaders: map[uint64]ReplicaID{}, appliedEntries: map[uint64]Entry{}, digests: map[uint64]uint64{},
+		ackedCommands: map[uint64]uint64{},
 	}
 	var members []Member
 	for i := range replicas {
 		members = append(members, Member{ID: ReplicaID(i + 1)})
 	}
 	for _, m := range members {
-		n := &node{id: m.ID, speed: 1}
+		n := &node{id: m.ID, clockRate: 1}
 		n.disk.hard, n.disk.snapshot = Bootstrap(simCluster, members...)
 		n.disk.synced = n.disk.hard
 		s.nodes = append(s.nodes, n)
@@ -102,12 +103,12 @@
 }
 
 func (s *sim) failf(format string, args ...any) {
-	s.errs = append(s.errs, fmt.Sprintf("step %d: ", s.now)+fmt.Sprintf(format, args...))
+	s.failures = append(s.failures, fmt.Sprintf("step %d: ", s.now)+fmt.Sprintf(format, args...))
 }
 
 func (s *sim) start(n *node) {
 	r, err := New(Config{
-		ID: n.id, Rand: s.rnd, MaxInflight: 4, MaxAppendBytes: 200,
+		ID: n.id, Rand: s.rng, MaxInflight: 4, MaxAppendBytes: 200,
 		HardState: n.disk.hard, Snapshot: n.disk.snapshot, Entries: n.disk.entries,
 	})
 	if err != nil {
@@ -115,7 +116,7 @@
 		return
 	}
 	n.r = r
-	n.started, n.reads = map[uint64]uint64{}, map[uint64]read{}
+	n.proposalFloors, n.reads = map[uint64]uint64{}, map[uint64]pendingSimRead{}
 	s.restore(n, n.disk.snapshot)
 }
 
@@ -132,16 +133,16 @@
 	n.disk.hard = n.disk.synced
 }
 
-// wipe replaces the node's disk, and so its identity, and starts it.
-func (s *sim) wipe(n *node) {
+// replaceDisk replaces the node's disk, and thus its replica ID, and starts it.
+func (s *sim) replaceDisk(n *node) {
 	n.disk = disk{}
-	n.id = ReplicaID(s.rnd.Uint64() | 1<<40)
+	n.id = ReplicaID(s.rng.Uint64() | 1<<40)
 	s.start(n)
 }
 
-// pump carries out what n's replica is ready to do; crashAt is the stage
-// before which it dies, or 0.
-func (s *sim) pump(n *node, crashAt int) {
+// processReady completes the outstanding work of n's replica. If crashAt is 1, the
+// replica crashes before it saves; if it is 2, before it sends the dependent messages.
+func (s *sim) processReady(n *node, crashAt int) {
 	for n.r != nil {
 		rd := n.r.Ready()
 		if rd.IsEmpty() {
@@ -171,7 +172,7 @@
 			s.apply(n, e)
 		}
 		n.r.Advance(rd)
-		s.finishReads(n, rd.ReadStates)
+		s.completeReads(n, rd.ReadStates)
 	}
 }
 
@@ -181,33 +182,34 @@
 	}
 	n.applied = e.Index
 	n.digest = n.digest*1099511628211 + e.Term*31 + e.ProposalID + 1
-	if old, ok := s.log[e.Index]; ok && (old.Term != e.Term || old.ProposalID != e.ProposalID) {
+	if old, ok := s.appliedEntries[e.Index]; ok && (old.Term != e.Term || old.ProposalID != e.ProposalID) {
 		s.failf("entry %d is %v on replica %s and was %v", e.Index, e, n.id, old)
 	}
 	if old, ok := s.digests[e.Index]; ok && old != n.digest {
 		s.failf("state after entry %d differs on replica %s", e.Index, n.id)
 	}
-	s.log[e.Index], s.digests[e.Index] = e, n.digest
-	if e.Kind == EntryChange && e.Change.Op == RemoveMember && e.Change.Member.ID == s.lost {
-		s.lost = 0
+	s.appliedEntries[e.Index], s.digests[e.Index] = e, n.digest
+	if e.Kind == EntryChange && e.Change.Op == RemoveMember && e.Change.Member.ID == s.lostID {
+		s.lostID = 0
 	}
-	if floor, ok := n.started[e.ProposalID]; ok && e.Proposer == n.id {
-		delete(n.started, e.ProposalID)
-		s.finish("command", floor, e.Index)
-		s.acked[e.ProposalID] = e.Index
+	if floor, ok := n.proposalFloors[e.ProposalID]; ok && e.Proposer == n.id {
+		delete(n.proposalFloors, e.ProposalID)
+		s.checkLinearizability("command", floor, e.Index)
+		s.ackedCommands[e.ProposalID] = e.Index
 	}
 }
 
-// finish checks that an operation saw whatever ended before it began: state
-// is a prefix of one log, so this is linearizability.
-func (s *sim) finish(what string, floor, index uint64) {
+// checkLinearizability checks that an operation observed all operations that
+// completed before it began. Every state is a prefix of one log, so this implies
+// linearizability.
+func (s *sim) checkLinearizability(operation string, floor, index uint64) {
 	if index < floor {
-		s.failf("%s saw state %d and began after state %d was seen", what, index, floor)
+		s.failf("%s observed state %d, but state %d had been observed before it began", operation, index, floor)
 	}
-	s.floor = max(s.floor, index)
+	s.maxObserved = max(s.maxObserved, index)
 }
 
-func (s *sim) finishReads(n *node, states []ReadState) {
+func (s *sim) completeReads(n *node, states []ReadState) {
 	for _, state := range states {
 		if rd, ok := n.reads[state.Context]; ok {
 			rd.index = state.Index
@@ -217,27 +219,27 @@
 	for context, rd := range n.reads {
 		if rd.index != 0 && n.applied >= rd.index {
 			delete(n.reads, context)
-			s.finish("read", rd.floor, n.applied)
+			s.checkLinearizability("read", rd.floor, n.applied)
 		}
 	}
 }
 
 func (s *sim) send(messages []Message) {
 	for _, m := range messages {
-		if s.blocked[[2]ReplicaID{m.From, m.To}] || s.rnd.Float64() < s.loss {
+		if s.blocked[[2]ReplicaID{m.From, m.To}] || s.rng.Float64() < s.loss {
 			continue
 		}
-		s.network = append(s.network, packet{s.now + 1 + s.rnd.IntN(s.delay+1), m})
-		if s.rnd.Float64() < s.dup {
-			s.network = append(s.network, packet{s.now + 1 + s.rnd.IntN(4*s.delay+1), m})
+		s.network = append(s.network, scheduledMessage{s.now + 1 + s.rng.IntN(s.delay+1), m})
+		if s.rng.Float64() < s.duplication {
+			s.network = append(s.network, scheduledMessage{s.now + 1 + s.rng.IntN(4*s.delay+1), m})
 		}
 	}
 }
 
-// step lets one unit of time pass.
+// step advances the simulation by one unit of time.
 func (s *sim) step() {
 	s.now++
-	var later, due []packet
+	var later, due []scheduledMessage
 	for _, p := range s.network {
 		if p.due > s.now {
 			later = append(later, p)
@@ -246,24 +248,24 @@
 		}
 	}
 	s.network = later
-	s.rnd.Shuffle(len(due), func(i, j int) { due[i], due[j] = due[j], due[i] })
+	s.rng.Shuffle(len(due), func(i, j int) { due[i], due[j] = due[j], due[i] })
 	for _, p := range due {
 		for _, n := range s.nodes {
-			if n.id == p.m.To && n.r != nil {
-				if err := n.r.Step(p.m); errorx.IsOfType(err, ErrLogRolledBack) {
+			if n.id == p.message.To && n.r != nil {
+				if err := n.r.Step(p.message); errorx.IsOfType(err, ErrLogRolledBack) {
 					s.failf("%v", err)
 				}
 			}
 		}
 	}
 	for _, n := range s.nodes {
-		n.clock += n.speed
+		n.clock += n.clockRate
 		for ; n.clock >= 1; n.clock-- {
 			if n.r != nil {
 				n.r.Tick()
 			}
 		}
-		s.pump(n, 0)
+		s.processReady(n, 0)
 	}
 }
 
@@ -274,18 +276,18 @@
 }
 
 func (s *sim) propose(n *node) uint64 {
-	s.number++
-	n.started[s.number] = s.floor
-	if err := n.r.Propose(s.number, []byte("x")); err != nil {
-		delete(n.started, s.number)
+	s.lastProposalID++
+	n.proposalFloors[s.lastProposalID] = s.maxObserved
+	if err := n.r.Propose(s.lastProposalID, []byte("x")); err != nil {
+		delete(n.proposalFloors, s.lastProposalID)
 	}
-	return s.number
+	return s.lastProposalID
 }
 
 func (s *sim) read(n *node) {
-	s.number++
-	if n.r.ReadIndex(s.number) == nil {
-		n.reads[s.number] = read{floor: s.floor}
+	s.lastProposalID++
+	if n.r.ReadIndex(s.lastProposalID) == nil {
+		n.reads[s.lastProposalID] = pendingSimRead{floor: s.maxObserved}
 	}
 }
 
@@ -304,7 +306,7 @@
 	n.disk.entries = slices.DeleteFunc(slices.Clone(n.disk.entries), func(e Entry) bool { return e.Index < first })
 }
 
-// leader returns the running leader of the greatest term.
+// leader returns the running leader with the greatest term, or nil.
 func (s *sim) leader() *node {
 	var best *node
 	for _, n := range s.nodes {
@@ -315,11 +317,11 @@
 	return best
 }
 
-// repair is the operators' procedure after a lost disk, one step at a time:
-// add the new identity, promote it, remove the old one.
+// repair performs the next step of the operators' procedure after the loss of a
+// disk: add the new replica ID, promote it, then remove the old one.
 func (s *sim) repair() {
 	n := s.leader()
-	if n == nil || s.lost == 0 {
+	if n == nil || s.lostID == 0 {
 		return
 	}
 	members := n.r.Status().Membership
@@ -334,15 +336,15 @@
 			return
 		}
 	}
-	_ = n.r.ProposeChange(0, ConfChange{Op: RemoveMember, Member: Member{ID: s.lost}})
+	_ = n.r.ProposeChange(0, ConfChange{Op: RemoveMember, Member: Member{ID: s.lostID}})
 }
 
-// heal ends all faults and waits until the replicas agree.
+// heal ends all faults, completes the repair and checks that the replicas agree.
 func (s *sim) heal() {
 	s.blocked = map[[2]ReplicaID]bool{}
-	s.loss, s.dup, s.delay = 0, 0, 0
+	s.loss, s.duplication, s.delay = 0, 0, 0
 	for _, n := range s.nodes {
-		n.speed = 1
+		n.clockRate = 1
 		if n.r == nil {
 			s.start(n)
 		}
@@ -361,10 +363,10 @@
 		s.failf("no leader after all faults ended")
 		return
 	}
-	number := s.propose(leader)
+	proposalID := s.propose(leader)
 	s.run(5)
-	if _, ok := s.acked[number]; !ok {
-		s.failf("the healed cluster commits nothing")
+	if _, ok := s.ackedCommands[proposalID]; !ok {
+		s.failf("the cluster commits no entry after all faults ended")
 	}
 	for _, n := range s.nodes {
 		if n.applied != leader.applied || n.digest != leader.digest {
@@ -376,12 +378,12 @@
 			}
 		}
 	}
-	for number, index := range s.acked {
-		if s.log[index].ProposalID != number {
-			s.failf("acknowledged command %d is not at entry %d", number, index)
+	for proposalID, index := range s.ackedCommands {
+		if s.appliedEntries[index].ProposalID != proposalID {
+			s.failf("acknowledged command %d is not at entry %d", proposalID, index)
 		}
 	}
-	if s.lost != 0 {
-		s.failf("the repair did not end")
+	if s.lostID != 0 {
+		s.failf("the repair did not complete")
 	}
 }
--- a/core/quorum/snapshot.go
+++ b/core/quorum/snapshot.go
@@ -1,10 +1,10 @@
 package quorum
 
-// sendSnapshot sends the latest snapshot in place of entries that are gone.
+// sendSnapshot sends the latest snapshot in place of compacted entries.
 func (r *Replica) sendSnapshot(p *Progress) {
 	if !p.RecentlyActive {
 		p.becomeProbe()
-		p.probeSent = true // until it answers a heartbeat
+		p.probeSent = true // until it responds to a heartbeat
 		return
 	}
 	snapshot := r.log.snapshot
@@ -12,22 +12,23 @@
 	p.becomeSnapshot(snapshot.Index, r.config.ElectionTicks)
 }
 
-// tickSnapshots sends a snapshot again whose answer did not come.
-func (r *Replica) tickSnapshots() {
+// retrySnapshots retries replication to replicas that have not acknowledged a
+// snapshot in time.
+func (r *Replica) retrySnapshots() {
 	for _, p := range r.progress {
 		if p.State != StateSnapshot {
 			continue
 		}
-		p.snapshotWait--
-		if p.snapshotWait <= 0 {
+		p.snapshotRetryTicks--
+		if p.snapshotRetryTicks <= 0 {
 			p.becomeProbe()
 			r.sendAppend(p, true)
 		}
 	}
 }
 
-// stepSnapshot installs a leader's snapshot unless the log holds as much
-// (paper, figure 13).
+// stepSnapshot installs a snapshot from the leader unless the log already contains
+// its last entry (paper, figure 13).
 func (r *Replica) stepSnapshot(m Message) {
 	s := m.Snapshot
 	if s == nil {
@@ -35,30 +36,30 @@
 	}
 	switch {
 	case s.Index <= r.log.committed:
-		// Old news; the answer below says how far this log is.
-	case r.log.matches(s.Index, s.Term):
+		// The snapshot is outdated; the response below reports the commit index.
+	case r.log.hasEntry(s.Index, s.Term):
 		r.commitTo(s.Index)
 	default:
 		r.log.reset(*s)
-		r.newSnapshot = s
+		r.unsavedSnapshot = s
 	}
 	r.send(Message{Type: MsgAppendResp, To: m.From, Index: r.log.committed})
 }
 
-// Snapshot returns the snapshot of state after the applied entry index. Save
-// it, then call Compact.
+// Snapshot returns a snapshot of state, the state machine's encoded state after
+// the applied entry index. The caller saves it and then calls Compact.
 func (r *Replica) Snapshot(index uint64, state []byte) (Snapshot, error) {
 	term, ok := r.log.term(index)
 	if !ok || index > r.log.applied || index < r.log.snapshot.Index {
-		return Snapshot{}, ErrInvalidState.New("snapshot at entry %d: applied is %d, the last snapshot is at %d",
+		return Snapshot{}, ErrInvalidState.New("cannot create a snapshot at entry %d: last applied entry is %d, last snapshot is at entry %d",
 			index, r.log.applied, r.log.snapshot.Index)
 	}
 	return Snapshot{Index: index, Term: term, Membership: r.log.membershipAt(index), Data: state}, nil
 }
 
-// Compact adopts a snapshot that is on disk and drops the entries it replaces,
-// but for the last keep, which spare followers a little behind the snapshot.
-// It returns the index of the first entry still held.
+// Compact installs a snapshot that is on disk and removes the entries that it
+// covers, except the last keep ones: with these, a follower that is slightly
+// behind needs no snapshot. It returns the index of the first remaining entry.
 func (r *Replica) Compact(s Snapshot, keep uint64) uint64 {
 	if s.Index >= r.log.snapshot.Index {
 		r.log.compact(s, keep)
