--- a/core/roster/roster.go
+++ b/core/roster/roster.go
@@ -1,7 +1,7 @@
-// Package roster keeps the membership of a control group whole without
-// operators: it lets replicas vote that have caught up, and removes those that
-// another one has replaced. It never shrinks the voters below the wanted number
-// and changes one member at a time.
+// Package roster maintains the membership of a control group without operators:
+// it promotes learners that have caught up, and removes replicas that were
+// replaced. It never reduces the number of voters below the target and changes
+// one member at a time.
 package roster
 
 import (
@@ -14,138 +14,139 @@
 
 // Options configure a Keeper.
 type Options struct {
-	// TargetVoters is the wanted number of voters; 0 lets every replica vote and
-	// removes none.
+	// TargetVoters is the desired number of voters. If it is 0, every replica is
+	// promoted and none is removed.
 	TargetVoters int
-	// VoterTimeout, 3 s by default, is how long a voter is unheard before a waiting replica takes
-	// its place.
+	// VoterTimeout is how long a voter must be inactive before a learner replaces
+	// it. The default is 3 s.
 	VoterTimeout time.Duration
-	// LearnerTimeout, 15 s by default, is how long a replica that does not vote is unheard before it
-	// is removed.
+	// LearnerTimeout is how long a learner must be inactive before it is removed.
+	// The default is 15 s.
 	LearnerTimeout time.Duration
 }
 
-// Reconciler decides about the membership on the leader. It is not safe for
+// Reconciler determines membership changes on the leader. It is not safe for
 // concurrent use.
 type Reconciler struct {
-	options Options
-	heard   map[quorum.ReplicaID]time.Duration
+	options    Options
+	lastActive map[quorum.ReplicaID]time.Duration
 }
 
 // Defaults of Options.
 const (
-	defaultAbsentAfter = 3 * time.Second
-	defaultForgetAfter = 15 * time.Second
+	defaultVoterTimeout   = 3 * time.Second
+	defaultLearnerTimeout = 15 * time.Second
 )
 
-// New returns a Keeper that takes every member as heard when it sees it first.
+// New returns a Reconciler that treats a member as active when it first sees it.
 func New(o Options) *Reconciler {
-	o.VoterTimeout = cmp.Or(o.VoterTimeout, defaultAbsentAfter)
-	o.LearnerTimeout = cmp.Or(o.LearnerTimeout, defaultForgetAfter)
-	return &Reconciler{options: o, heard: make(map[quorum.ReplicaID]time.Duration)}
+	o.VoterTimeout = cmp.Or(o.VoterTimeout, defaultVoterTimeout)
+	o.LearnerTimeout = cmp.Or(o.LearnerTimeout, defaultLearnerTimeout)
+	return &Reconciler{options: o, lastActive: make(map[quorum.ReplicaID]time.Duration)}
 }
 
-// State is what the leader sees.
+// State is the leader's view of the group.
 type State struct {
 	Self    quorum.ReplicaID
 	Members []quorum.Member
-	// IsActive reports whether a replica was heard since it was last asked.
+	// IsActive reports whether the leader recently received a message from a replica.
 	IsActive func(quorum.ReplicaID) bool
 }
 
-// NextChange returns the change to make now, if any. A learner that has not caught up
-// is refused by the log, and offered again later.
-func (k *Reconciler) NextChange(now time.Duration, s State) (quorum.ConfChange, bool) {
-	k.listen(now, s)
-	if change, ok := k.removable(now, s.Members, s.Self); ok {
+// NextChange returns the change to make now, if any. The replicated log rejects the
+// promotion of a learner that has not caught up; a later call returns it again.
+func (r *Reconciler) NextChange(now time.Duration, s State) (quorum.ConfChange, bool) {
+	r.recordActivity(now, s)
+	if change, ok := r.findRemoval(now, s.Members, s.Self); ok {
 		return change, true
 	}
-	return k.promotable(now, s.Members)
+	return r.findPromotion(now, s.Members)
 }
 
-// UnresponsiveVoters returns the voters that are missed.
-func (k *Reconciler) UnresponsiveVoters(now time.Duration, s State) []quorum.Member {
+// UnresponsiveVoters returns the voters that were inactive for the voter timeout.
+func (r *Reconciler) UnresponsiveVoters(now time.Duration, s State) []quorum.Member {
 	return slices.DeleteFunc(slices.Clone(s.Members), func(m quorum.Member) bool {
-		return m.IsLearner || !k.absent(now, m.ID)
+		return m.IsLearner || !r.isUnresponsive(now, m.ID)
 	})
 }
 
-func (k *Reconciler) listen(now time.Duration, s State) {
-	for id := range k.heard {
+func (r *Reconciler) recordActivity(now time.Duration, s State) {
+	for id := range r.lastActive {
 		if !slices.ContainsFunc(s.Members, func(m quorum.Member) bool { return m.ID == id }) {
-			delete(k.heard, id)
+			delete(r.lastActive, id)
 		}
 	}
 	for _, m := range s.Members {
-		if _, known := k.heard[m.ID]; !known || m.ID == s.Self || s.IsActive(m.ID) {
-			k.heard[m.ID] = now
+		if _, tracked := r.lastActive[m.ID]; !tracked || m.ID == s.Self || s.IsActive(m.ID) {
+			r.lastActive[m.ID] = now
 		}
 	}
 }
 
-func (k *Reconciler) unheard(now time.Duration, id quorum.ReplicaID) time.Duration {
-	return now - k.heard[id]
+func (r *Reconciler) inactivity(now time.Duration, id quorum.ReplicaID) time.Duration {
+	return now - r.lastActive[id]
 }
 
-func (k *Reconciler) absent(now time.Duration, id quorum.ReplicaID) bool {
-	return k.unheard(now, id) >= k.options.VoterTimeout
+func (r *Reconciler) isUnresponsive(now time.Duration, id quorum.ReplicaID) bool {
+	return r.inactivity(now, id) >= r.options.VoterTimeout
 }
 
-// superseded reports whether another replica that is heard runs at the address
-// of m: the disk that m lived on is gone.
-func (k *Reconciler) superseded(now time.Duration, members []quorum.Member, m quorum.Member) bool {
+// isSuperseded reports whether a replica that was active more recently runs at the
+// address of m, which means that the disk of m was lost.
+func (r *Reconciler) isSuperseded(now time.Duration, members []quorum.Member, m quorum.Member) bool {
 	return slices.ContainsFunc(members, func(o quorum.Member) bool {
-		return o.ID != m.ID && o.Address == m.Address && k.unheard(now, o.ID) < k.unheard(now, m.ID)
+		return o.ID != m.ID && o.Address == m.Address && r.inactivity(now, o.ID) < r.inactivity(now, m.ID)
 	})
 }
 
-// removable finds a member that the group can do without.
-func (k *Reconciler) removable(now time.Duration, members []quorum.Member, self quorum.ReplicaID) (quorum.ConfChange, bool) {
-	if k.options.TargetVoters == 0 {
+// findRemoval returns the removal of the longest inactive member that the group
+// does not need, if any.
+func (r *Reconciler) findRemoval(now time.Duration, members []quorum.Member, self quorum.ReplicaID) (quorum.ConfChange, bool) {
+	if r.options.TargetVoters == 0 {
 		return quorum.ConfChange{}, false
 	}
-	voters := count(members)
-	var out []quorum.Member
+	voters := countVoters(members)
+	var candidates []quorum.Member
 	for _, m := range members {
-		gone := k.superseded(now, members, m)
+		superseded := r.isSuperseded(now, members, m)
 		switch {
 		case m.ID == self:
-		case m.IsLearner && (gone || k.unheard(now, m.ID) >= k.options.LearnerTimeout):
-			out = append(out, m)
-		case !m.IsLearner && voters > k.options.TargetVoters && (gone || k.absent(now, m.ID)):
-			out = append(out, m)
+		case m.IsLearner && (superseded || r.inactivity(now, m.ID) >= r.options.LearnerTimeout):
+			candidates = append(candidates, m)
+		case !m.IsLearner && voters > r.options.TargetVoters && (superseded || r.isUnresponsive(now, m.ID)):
+			candidates = append(candidates, m)
 		}
 	}
-	if len(out) == 0 {
+	if len(candidates) == 0 {
 		return quorum.ConfChange{}, false
 	}
-	longest := slices.MaxFunc(out, func(a, b quorum.Member) int {
-		return cmp.Compare(k.unheard(now, a.ID), k.unheard(now, b.ID))
+	longestInactive := slices.MaxFunc(candidates, func(a, b quorum.Member) int {
+		return cmp.Compare(r.inactivity(now, a.ID), r.inactivity(now, b.ID))
 	})
-	return quorum.ConfChange{Op: quorum.RemoveMember, Member: longest}, true
+	return quorum.ConfChange{Op: quorum.RemoveMember, Member: longestInactive}, true
 }
 
-// promotable finds a learner that is to vote: where voters are too few, or one
-// of them is missed.
-func (k *Reconciler) promotable(now time.Duration, members []quorum.Member) (quorum.ConfChange, bool) {
-	lost := 0
+// findPromotion returns the promotion of an active learner, if too few of the voters
+// are available.
+func (r *Reconciler) findPromotion(now time.Duration, members []quorum.Member) (quorum.ConfChange, bool) {
+	unavailable := 0
 	for _, m := range members {
-		if !m.IsLearner && (k.absent(now, m.ID) || k.superseded(now, members, m)) {
-			lost++
+		if !m.IsLearner && (r.isUnresponsive(now, m.ID) || r.isSuperseded(now, members, m)) {
+			unavailable++
 		}
 	}
-	if k.options.TargetVoters > 0 && count(members)-lost >= k.options.TargetVoters {
+	if r.options.TargetVoters > 0 && countVoters(members)-unavailable >= r.options.TargetVoters {
 		return quorum.ConfChange{}, false
 	}
 	for _, m := range members {
-		if m.IsLearner && !k.absent(now, m.ID) {
+		if m.IsLearner && !r.isUnresponsive(now, m.ID) {
 			return quorum.ConfChange{Op: quorum.PromoteLearner, Member: m}, true
 		}
 	}
 	return quorum.ConfChange{}, false
 }
 
-func count(members []quorum.Member) int {
+func countVoters(members []quorum.Member) int {
 	n := 0
 	for _, m := range members {
 		if !m.IsLearner {
--- a/core/roster/roster_test.go
+++ b/core/roster/roster_test.go
@@ -13,36 +13,36 @@
 	return quorum.Member{ID: id, Address: address, IsLearner: learner}
 }
 
-// group is a membership whose members are heard unless they are silent.
+// group is a membership with a set of inactive members.
 type group struct {
-	members []quorum.Member
-	silent  map[quorum.ReplicaID]bool
+	members  []quorum.Member
+	inactive map[quorum.ReplicaID]bool
 }
 
 func (g *group) state() State {
-	return State{Self: 1, Members: g.members, IsActive: func(id quorum.ReplicaID) bool { return !g.silent[id] }}
+	return State{Self: 1, Members: g.members, IsActive: func(id quorum.ReplicaID) bool { return !g.inactive[id] }}
 }
 
-// settle makes the Keeper's changes until it wants none, and returns them.
-func (g *group) settle(t *testing.T, k *Reconciler, from, to time.Duration) []quorum.ConfChange {
+// converge applies the Reconciler's changes in the given period and returns them.
+func (g *group) converge(t *testing.T, r *Reconciler, from, to time.Duration) []quorum.ConfChange {
 	t.Helper()
-	var made []quorum.ConfChange
+	var changes []quorum.ConfChange
 	for now := from; now <= to; now += 250 * time.Millisecond {
-		change, ok := k.NextChange(now, g.state())
+		change, ok := r.NextChange(now, g.state())
 		if !ok {
 			continue
 		}
-		made = append(made, change)
+		changes = append(changes, change)
 		next, err := quorum.NewMembership(g.members...).Apply(change)
 		if err != nil {
 			t.Fatal(err)
 		}
 		g.members = next.Members
 	}
-	return made
+	return changes
 }
 
-func options() Options {
+func testOptions() Options {
 	return Options{TargetVoters: 3, VoterTimeout: 3 * time.Second, LearnerTimeout: 10 * time.Second}
 }
 
@@ -53,22 +53,22 @@
 		id quorum.ReplicaID
 	}
 	cases := []struct {
-		name    string
-		members []quorum.Member
-		silent  []quorum.ReplicaID
-		want    []step
+		name     string
+		members  []quorum.Member
+		inactive []quorum.ReplicaID
+		want     []step
 	}{
-		{"all heard", three, nil, nil},
-		{"a voter is missed and nobody waits", three, []quorum.ReplicaID{3}, nil},
-		{"a spare waits", append([]quorum.Member{member(4, "d", true)}, three...), nil, nil},
+		{"all members active", three, nil, nil},
+		{"an inactive voter without a learner to replace it", three, []quorum.ReplicaID{3}, nil},
+		{"a learner that is not needed", append([]quorum.Member{member(4, "d", true)}, three...), nil, nil},
 		{
-			"a spare takes the place of a lost voter, which is removed last",
+			"a learner replaces an inactive voter, which is removed afterwards",
 			append([]quorum.Member{member(4, "d", true)}, three...),
 			[]quorum.ReplicaID{3},
 			[]step{{quorum.PromoteLearner, 4}, {quorum.RemoveMember, 3}},
 		},
 		{
-			"an emptied disk comes back at its address",
+			"a replica with a replaced disk rejoins at its address",
 			append([]quorum.Member{member(4, "c", true)}, three...),
 			[]quorum.ReplicaID{3},
 			[]step{{quorum.PromoteLearner, 4}, {quorum.RemoveMember, 3}},
@@ -80,13 +80,13 @@
 			[]step{{quorum.PromoteLearner, 2}, {quorum.PromoteLearner, 3}},
 		},
 		{
-			"a spare that is missed takes nobody's place",
+			"an inactive learner does not replace a voter",
 			append([]quorum.Member{member(4, "d", true)}, three...),
 			[]quorum.ReplicaID{3, 4},
 			[]step{{quorum.RemoveMember, 4}},
 		},
 		{
-			"a spare that never comes back is forgotten",
+			"a learner that stays inactive is removed",
 			append([]quorum.Member{member(4, "d", true)}, three...),
 			[]quorum.ReplicaID{4},
 			[]step{{quorum.RemoveMember, 4}},
@@ -95,14 +95,14 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			g := &group{members: c.members, silent: make(map[quorum.ReplicaID]bool)}
-			k := New(options())
-			k.NextChange(0, State{Self: 1, Members: c.members, IsActive: func(quorum.ReplicaID) bool { return true }})
-			for _, id := range c.silent {
-				g.silent[id] = true
+			g := &group{members: c.members, inactive: make(map[quorum.ReplicaID]bool)}
+			r := New(testOptions())
+			r.NextChange(0, State{Self: 1, Members: c.members, IsActive: func(quorum.ReplicaID) bool { return true }})
+			for _, id := range c.inactive {
+				g.inactive[id] = true
 			}
 			var got []step
-			for _, change := range g.settle(t, k, 250*time.Millisecond, 30*time.Second) {
+			for _, change := range g.converge(t, r, 250*time.Millisecond, 30*time.Second) {
 				got = append(got, step{change.Op, change.Member.ID})
 			}
 			is.Equal(got, c.want)
@@ -110,11 +110,11 @@
 	}
 }
 
-func TestVotersAreNeverFewerThanWanted(t *testing.T) {
+func TestVotersAreNeverReducedBelowTarget(t *testing.T) {
 	is := is.New(t)
 	g := &group{
-		members: []quorum.Member{member(1, "a", false), member(2, "b", false), member(3, "c", false)},
-		silent:  map[quorum.ReplicaID]bool{2: true, 3: true},
+		members:  []quorum.Member{member(1, "a", false), member(2, "b", false), member(3, "c", false)},
+		inactive: map[quorum.ReplicaID]bool{2: true, 3: true},
 	}
-	is.Equal(len(g.settle(t, New(options()), 0, time.Minute)), 0)
+	is.Equal(len(g.converge(t, New(testOptions()), 0, time.Minute)), 0)
 }
