--- a/core/fleet/answers.go
+++ b/core/fleet/answers.go
@@ -2,58 +2,59 @@
 
 import "slices"
 
-// Limits of the remembered answers. Both depend on the log alone, so every
-// replica forgets the same answers at the same index.
+// Limits of the result cache. Eviction depends only on the log, so all replicas
+// evict the same results at the same index.
 const (
-	maxAnswers    = 10_000
-	answersWindow = 1_000_000 // log indexes
+	maxCachedResults   = 10_000
+	cachedResultWindow = 1_000_000 // log indexes
 )
 
-// CachedResult is the remembered result of a request ID.
+// CachedResult is the stored result of the command with a request ID.
 type CachedResult struct {
 	RequestID string `cbor:"1,keyasint"`
-	// Digest identifies the command that was answered.
+	// Digest identifies the content of the command.
 	Digest uint64 `cbor:"2,keyasint"`
 	// Index is the log index of the command.
 	Index  uint64 `cbor:"3,keyasint"`
 	Result Result `cbor:"4,keyasint"`
 }
 
-// answers remembers results by request ID, the oldest first in list.
-type answers struct {
-	list []CachedResult
-	byID map[string]CachedResult
+// resultCache stores results by request ID, so that resent commands are not
+// executed again. results is in log order.
+type resultCache struct {
+	results []CachedResult
+	byID    map[string]CachedResult
 }
 
-func newAnswers(list []CachedResult) *answers {
-	a := &answers{byID: make(map[string]CachedResult, len(list))}
-	for _, answer := range list {
-		a.add(answer)
+func newResultCache(results []CachedResult) *resultCache {
+	c := &resultCache{byID: make(map[string]CachedResult, len(results))}
+	for _, result := range results {
+		c.add(result)
 	}
-	return a
+	return c
 }
 
-func (a *answers) find(requestID string) (CachedResult, bool) {
-	answer, ok := a.byID[requestID]
-	return answer, ok
+func (c *resultCache) find(requestID string) (CachedResult, bool) {
+	result, ok := c.byID[requestID]
+	return result, ok
 }
 
-func (a *answers) add(answer CachedResult) {
-	a.list = append(a.list, answer)
-	a.byID[answer.RequestID] = answer
-	a.expire(answer.Index)
+func (c *resultCache) add(result CachedResult) {
+	c.results = append(c.results, result)
+	c.byID[result.RequestID] = result
+	c.evict(result.Index)
 }
 
-// expire forgets the answers that index leaves beyond the limits.
-func (a *answers) expire(index uint64) {
-	drop := max(0, len(a.list)-maxAnswers)
-	for drop < len(a.list) && a.list[drop].Index+answersWindow <= index {
+// evict removes the results that exceed the limits at the given log index.
+func (c *resultCache) evict(index uint64) {
+	drop := max(0, len(c.results)-maxCachedResults)
+	for drop < len(c.results) && c.results[drop].Index+cachedResultWindow <= index {
 		drop++
 	}
 	for i := range drop {
-		delete(a.byID, a.list[i].RequestID)
+		delete(c.byID, c.results[i].RequestID)
 	}
-	a.list = slices.Delete(a.list, 0, drop)
+	c.results = slices.Delete(c.results, 0, drop)
 }
 
-func (a *answers) snapshot() []CachedResult { return slices.Clone(a.list) }
+func (c *resultCache) snapshot() []CachedResult { return slices.Clone(c.results) }
--- a/core/fleet/command.go
+++ b/core/fleet/command.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// CommandKind is what a command does.
+// CommandKind is the operation of a command.
 type CommandKind uint8
 
 // The kinds of commands.
 const (
-	// KindApply replaces the whole document. Its content is either the document
-	// or the patch that makes it of the expected version.
+	// KindApply replaces the whole document. It carries either the new document or
+	// a patch to the expected version.
 	KindApply CommandKind = iota + 1
-	// KindPatch changes single items.
+	// KindPatch changes individual items of the document.
 	KindPatch
-	// KindRollback makes a new version that equals an earlier one.
+	// KindRollback creates a new version equal to an earlier one.
 	KindRollback
 	// KindDrain drains a backend server.
 	KindDrain
-	// KindCancelDrain ends a drain.
+	// KindCancelDrain cancels a drain.
 	KindCancelDrain
-	// KindImport replaces the document by one that another system numbers.
+	// KindImport replaces the document by a numbered document of another system.
 	KindImport
-	// KindRegistrations notes which agents there are. The leader proposes it.
+	// KindRegistrations adds and removes registered agents. The leader proposes it.
 	KindRegistrations
 )
 
@@ -41,15 +41,15 @@
 // UnmarshalText reads the kind's name.
 func (k *CommandKind) UnmarshalText(text []byte) error { return unmarshalName(kindNames, k, text) }
 
-// nameOf returns the name of value, or its number behind what it is.
-func nameOf[T ~uint8](names map[T]string, value T, what string) string {
+// nameOf returns the name of value, or typeName with the number if it has no name.
+func nameOf[T ~uint8](names map[T]string, value T, typeName string) string {
 	if name, ok := names[value]; ok {
 		return name
 	}
-	return fmt.Sprintf("%s(%d)", what, uint8(value))
+	return fmt.Sprintf("%s(%d)", typeName, uint8(value))
 }
 
-// unmarshalName sets value to the one that names has text for.
+// unmarshalName sets value to the one whose name is text.
 func unmarshalName[T comparable](names map[T]string, value *T, text []byte) error {
 	for v, name := range names {
 		if name == string(text) {
@@ -63,47 +63,49 @@
 // Command is one entry of the replicated log.
 type Command struct {
 	Kind CommandKind `cbor:"1,keyasint" json:"kind"`
-	// RequestID is unique to what the operator asked for. A resend with the
-	// same ID gets the first result. Without one nothing is remembered.
+	// RequestID identifies the operator's request. A command that is resent with
+	// the same ID returns the first result. Results of commands without an ID are
+	// not stored.
 	RequestID string `cbor:"2,keyasint,omitempty" json:"request_id,omitempty"`
-	// Author and At are who asked and when, by the proposer's clock. They
-	// are shown in the history and decide nothing.
+	// Author is the user who issued the command and ProposedAt the time by the
+	// proposer's clock. They appear in the history and do not affect execution.
 	Author     string    `cbor:"3,keyasint,omitempty" json:"author,omitempty"`
 	ProposedAt time.Time `cbor:"4,keyasint" json:"at"`
 	Comment    string    `cbor:"5,keyasint,omitempty" json:"comment,omitempty"`
-	// ExpectedVersion is the version that the operator saw. Apply and Rollback need
-	// it to be the current one. Patch needs the items that it touches to be
-	// unchanged since.
+	// ExpectedVersion is the version on which the operator based the command.
+	// KindApply and KindRollback require it to be the current version. KindPatch
+	// requires that the items it changes are unchanged since that version.
 	ExpectedVersion uint64 `cbor:"6,keyasint" json:"expected"`
-	// Document is the content of KindApply. The machine keeps it.
+	// Document is the content of KindApply or KindImport. The StateMachine retains it.
 	Document *Document `cbor:"7,keyasint,omitempty" json:"document,omitempty"`
-	// Patch is the content of KindPatch, or of KindApply in place of Document.
-	// The machine keeps it.
+	// Patch is the content of KindPatch, or of KindApply in place of Document. The
+	// StateMachine retains it.
 	Patch *Patch `cbor:"8,keyasint,omitempty" json:"patch,omitempty"`
-	// RollbackVersion is set for KindRollback: the version to return to.
+	// RollbackVersion is the version that KindRollback restores.
 	RollbackVersion uint64 `cbor:"9,keyasint,omitempty" json:"version,omitempty"`
 	// BackendServer is set for KindDrain and KindCancelDrain.
 	BackendServer string `cbor:"10,keyasint,omitempty" json:"backend_server,omitempty"`
-	// Import is set for KindImport, beside Document.
+	// Import is set for KindImport, together with Document.
 	Import *Import `cbor:"11,keyasint,omitempty" json:"import,omitempty"`
-	// Registrations is the content of KindSeats.
+	// Registrations is the content of KindRegistrations.
 	Registrations *RegistrationChange `cbor:"12,keyasint,omitempty" json:"seats,omitempty"`
 }
 
-// Outcome is how a command ended.
+// Outcome is the outcome of a command.
 type Outcome uint8
 
 // The outcomes of commands.
 const (
-	// OutcomeAccepted commands are in force from Result.Version and Result.Revision.
+	// OutcomeAccepted means that the command is effective from Result.Version and
+	// Result.Revision on.
 	OutcomeAccepted Outcome = iota + 1
-	// OutcomeConflict is for commands that expected another version.
+	// OutcomeConflict means that the expected version conflicts with later changes.
 	OutcomeConflict
-	// OutcomeInvalid is for commands with problems.
+	// OutcomeInvalid means that validation found the problems in Result.Problems.
 	OutcomeInvalid
-	// OutcomeNotFound is for a version or a drain that does not exist.
+	// OutcomeNotFound means that the version or the drain does not exist.
 	OutcomeNotFound
-	// OutcomeRequestIDReused is for a request ID that an unlike command used before.
+	// OutcomeRequestIDReused means that a different command used the request ID before.
 	OutcomeRequestIDReused
 )
 
@@ -120,21 +122,21 @@
 // UnmarshalText reads the outcome's name.
 func (o *Outcome) UnmarshalText(text []byte) error { return unmarshalName(outcomeNames, o, text) }
 
-// Result is the answer to a command.
+// Result is the result of a command.
 type Result struct {
 	Outcome Outcome `cbor:"1,keyasint" json:"outcome"`
-	// Version numbers the document: the one made by an accepted command, else
-	// the current one. It grows with every accepted apply, patch and rollback.
+	// Version is the version of the document after the command. It increases with
+	// every accepted apply, patch, rollback and newer import.
 	Version uint64 `cbor:"2,keyasint" json:"version"`
-	// Revision numbers the state with its drains. It grows with every
-	// accepted change.
+	// Revision is the revision of the state, which includes the drains. It increases
+	// with the version and with every added or cancelled drain.
 	Revision uint64 `cbor:"3,keyasint" json:"revision"`
-	// Problems are what is wrong with an invalid command.
+	// Problems lists the validation errors of an invalid command.
 	Problems []Problem `cbor:"4,keyasint,omitempty" json:"problems,omitempty"`
 }
 
-// Drain asks that a backend server takes no new work. It holds until it is
-// cancelled, also while the backend server is away.
+// Drain excludes a backend server from new work. It remains until it is cancelled,
+// even while the backend server is absent.
 type Drain struct {
 	BackendServer string    `cbor:"1,keyasint" json:"backend_server"`
 	Author        string    `cbor:"2,keyasint" json:"author,omitempty"`
@@ -148,11 +150,12 @@
 	maxDrains     = 20_000
 )
 
-// problems returns what is wrong with the command apart from its content.
-func (c *Command) problems() []Problem {
-	var found []Problem
+// validate returns the problems of the command, except those of its documents and
+// patches.
+func (c *Command) validate() []Problem {
+	var problems []Problem
 	add := func(key, format string, args ...any) {
-		found = append(found, Problem{Section: "command", Key: key, Message: fmt.Sprintf(format, args...)})
+		problems = append(problems, Problem{Section: "command", Key: key, Message: fmt.Sprintf(format, args...)})
 	}
 	for _, text := range []struct{ key, value string }{
 		{"request_id", c.RequestID}, {"author", c.Author}, {"comment", c.Comment},
@@ -173,9 +176,9 @@
 	case KindRollback:
 	case KindRegistrations:
 		if c.Registrations == nil {
-			add("seats", "a change of seats is required")
+			add("seats", "a change of the registered agents is required")
 		} else {
-			found = append(found, c.Registrations.problems()...)
+			problems = append(problems, c.Registrations.validate()...)
 		}
 	case KindImport:
 		if c.Document == nil || c.Import == nil || c.Import.Number == 0 {
@@ -188,5 +191,5 @@
 	default:
 		add("kind", "%s is unknown", c.Kind)
 	}
-	return found
+	return problems
 }
--- a/core/fleet/digest.go
+++ b/core/fleet/digest.go
@@ -6,8 +6,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// digest identifies what a command asks for, apart from who asked and when, so
-// that a resend is told from another command with its request ID.
+// digest returns a hash of the command without its author and time. It distinguishes
+// a resent command from a different command with the same request ID.
 func (c *Command) digest() uint64 {
 	h := hasher{xxhash.New()}
 	h.number(uint64(c.Kind))
@@ -30,8 +30,8 @@
 	return h.Sum64()
 }
 
-// hasher writes values with their lengths, so that no two sequences of values
-// give the same bytes.
+// hasher hashes values with length prefixes, so that different sequences of values
+// never produce the same input bytes.
 type hasher struct{ *xxhash.Digest }
 
 func (h hasher) number(n uint64) {
@@ -63,8 +63,8 @@
 }
 
 func (h hasher) settings(s *Settings) {
-	for i := range tunables {
-		h.number(uint64(tunables[i].load(s)))
+	for i := range settingSpecs {
+		h.number(uint64(settingSpecs[i].load(s)))
 	}
 }
 
--- a/core/fleet/document.go
+++ b/core/fleet/document.go
@@ -1,7 +1,7 @@
-// Package fleet holds the durable state of a fleet: its services, the
-// fleet-wide defaults, the exceptions with their reasons, and the drains that
-// operators ask for. Machine is the replicated state machine over it: equal
-// commands in equal order give equal states and results on every replica.
+// Package fleet implements the replicated configuration of a fleet: its services,
+// the fleet-wide default settings, the exceptions to them, and the drains requested
+// by operators. StateMachine is deterministic: the same commands in the same order
+// produce the same state and results on every replica.
 package fleet
 
 import (
@@ -13,7 +13,7 @@
 	"fulmarmount.org/core/view"
 )
 
-// Mode is how a service's traffic is carried.
+// Mode determines how a service's traffic is forwarded.
 type Mode string
 
 // The modes of a service.
@@ -22,54 +22,56 @@
 	ModePacket Mode = "packet"
 	// ModeStream forwards TCP connections.
 	ModeStream Mode = "stream"
-	// ModeRequest carries HTTP requests, each with an outcome of its own.
+	// ModeRequest forwards HTTP requests, each with its own outcome.
 	ModeRequest Mode = "request"
-	// ModeSegment forwards packets that name their flow themselves. Callers reach
-	// the service through listeners.
+	// ModeSegment forwards packets that carry a flow identifier. Callers reach the
+	// service through listeners.
 	ModeSegment Mode = "segment"
 )
 
-// Document is what operators write. Services and Exceptions are sorted by
-// name. Treat a document that a Machine returned as read-only.
+// Document is the configuration that operators write. Services and Exceptions are
+// sorted by name. Documents returned by a StateMachine are read-only.
 type Document struct {
 	Defaults   Settings    `cbor:"1,keyasint" json:"defaults"`
 	Services   []Service   `cbor:"2,keyasint" json:"services"`
 	Exceptions []Exception `cbor:"3,keyasint" json:"exceptions"`
-	// Listeners are sorted by address. Imports set them.
+	// Listeners are sorted by address. Only imports set them.
 	Listeners []Listener `cbor:"4,keyasint,omitempty" json:"listeners,omitempty"`
 }
 
-// Service is one service of the fleet.
+// Service is the configuration of one service.
 type Service struct {
 	Name string `cbor:"1,keyasint" json:"name"`
-	// ID is assigned by the Machine and never reused, also after the service
-	// is deleted and made again.
+	// ID is assigned by the StateMachine and never reused. A service that is deleted
+	// and created again gets a new ID.
 	ID view.ServiceID `cbor:"2,keyasint" json:"id"`
-	// Addresses are where callers reach the service. No two services share one.
+	// Addresses are the addresses at which callers reach the service. Each address
+	// belongs to one service.
 	Addresses []netip.AddrPort `cbor:"3,keyasint" json:"addresses"`
 	Mode      Mode             `cbor:"4,keyasint" json:"mode"`
-	// Share is the part of every shared resource that is reserved for the
-	// service. Services without one split what is not reserved.
+	// Share is the fraction of every shared resource that is reserved for the
+	// service. Services without a share split the unreserved fraction.
 	Share Share `cbor:"5,keyasint" json:"share"`
 	// Classes divide the service's share by urgency.
 	Classes []Class `cbor:"6,keyasint" json:"classes,omitempty"`
-	// RepeatableRoutes lists the requests that may run more than once.
+	// RepeatableRoutes match the requests that may be executed more than once.
 	RepeatableRoutes []Route `cbor:"7,keyasint" json:"repeatable,omitempty"`
 }
 
-// Class is the requests of a service within a range of urgencies.
+// Class groups the requests of a service within a range of urgencies.
 type Class struct {
 	Name string `cbor:"1,keyasint" json:"name"`
-	// MostUrgent and LeastUrgent bound the urgencies of the class, as in the
-	// Priority header field (RFC 9218, section 4.1): 0 is the most urgent and
-	// MaxUrgency the least.
+	// MostUrgent and LeastUrgent are the bounds of the urgencies of the class, as in
+	// the Priority header field (RFC 9218, section 4.1): 0 is the most urgent and
+	// MaxUrgency the least urgent value.
 	MostUrgent  uint8 `cbor:"2,keyasint" json:"most_urgent"`
 	LeastUrgent uint8 `cbor:"3,keyasint" json:"least_urgent"`
-	// Share is the part of the service's share that is reserved for the class.
+	// Share is the fraction of the service's share that is reserved for the class.
 	Share Share `cbor:"4,keyasint" json:"share"`
 }
 
-// MaxUrgency is the least urgent value of the Priority header field.
+// MaxUrgency is the greatest, and thus least urgent, urgency of the Priority header
+// field.
 const MaxUrgency = 7
 
 // Route matches requests by method and path prefix.
@@ -78,67 +80,69 @@
 	Prefix string `cbor:"2,keyasint" json:"prefix"`
 }
 
-// Scope is what an exception applies to.
+// Scope is the type of target that an exception applies to.
 type Scope string
 
-// The scopes, from the widest to the narrowest. The narrower one wins.
+// The scopes, from the widest to the narrowest. Narrower scopes take precedence.
 const (
 	ScopeZone          Scope = "zone"
 	ScopeService       Scope = "service"
 	ScopeBackendServer Scope = "backend_server"
 )
 
-// Exception overrides one default for one zone, service or backend server.
+// Exception overrides one default setting for one zone, service or backend server.
 type Exception struct {
 	Name   string     `cbor:"1,keyasint" json:"name"`
 	Scope  Scope      `cbor:"2,keyasint" json:"scope"`
 	Target string     `cbor:"3,keyasint" json:"target"`
 	Key    SettingKey `cbor:"4,keyasint" json:"key"`
-	// Value is written as in the defaults.
+	// Value has the same format as in the defaults.
 	Value string `cbor:"5,keyasint" json:"value"`
-	// Reason says why, in the operator's words. It is mandatory.
+	// Reason is the operator's explanation. It is mandatory.
 	Reason string `cbor:"6,keyasint" json:"reason"`
-	// ExpiresAt ends the exception; the zero time stands for never.
+	// ExpiresAt is the time at which the exception expires. An exception with the
+	// zero time never expires.
 	ExpiresAt time.Time `cbor:"7,keyasint" json:"expires,omitzero"`
 }
 
-// Expired reports whether the exception has ended at now.
+// Expired reports whether the exception has expired at time now.
 func (e *Exception) Expired(now time.Time) bool {
 	return !e.ExpiresAt.IsZero() && !e.ExpiresAt.After(now)
 }
 
-// Normalize sorts the document and drops empty slices, so that equal documents
-// compare equal. Times lose what the snapshot would not keep.
+// Normalize sorts the document and replaces empty slices by nil, so that equal
+// documents compare equal. It truncates times to the precision of a snapshot.
 func (d *Document) Normalize() {
 	slices.SortStableFunc(d.Services, func(a, b Service) int { return cmp.Compare(a.Name, b.Name) })
 	slices.SortStableFunc(d.Exceptions, func(a, b Exception) int { return cmp.Compare(a.Name, b.Name) })
 	slices.SortStableFunc(d.Listeners, func(a, b Listener) int { return a.Address.Compare(b.Address) })
-	d.Listeners = nonEmpty(d.Listeners)
-	d.Services = nonEmpty(d.Services)
-	d.Exceptions = nonEmpty(d.Exceptions)
+	d.Listeners = nilIfEmpty(d.Listeners)
+	d.Services = nilIfEmpty(d.Services)
+	d.Exceptions = nilIfEmpty(d.Exceptions)
 	for i := range d.Services {
 		d.Services[i].normalize()
 	}
 	for i := range d.Exceptions {
-		d.Exceptions[i].ExpiresAt = wholeSeconds(d.Exceptions[i].ExpiresAt)
+		d.Exceptions[i].ExpiresAt = truncateToSeconds(d.Exceptions[i].ExpiresAt)
 	}
 }
 
 func (s *Service) normalize() {
-	s.Addresses = nonEmpty(s.Addresses)
-	s.Classes = nonEmpty(s.Classes)
-	s.RepeatableRoutes = nonEmpty(s.RepeatableRoutes)
+	s.Addresses = nilIfEmpty(s.Addresses)
+	s.Classes = nilIfEmpty(s.Classes)
+	s.RepeatableRoutes = nilIfEmpty(s.RepeatableRoutes)
 }
 
-func nonEmpty[T any](list []T) []T {
+func nilIfEmpty[T any](list []T) []T {
 	if len(list) == 0 {
 		return nil
 	}
 	return list
 }
 
-// wholeSeconds drops the fraction, the zone and the monotonic reading.
-func wholeSeconds(t time.Time) time.Time {
+// truncateToSeconds removes the fraction of a second, the time zone and the monotonic
+// clock reading.
+func truncateToSeconds(t time.Time) time.Time {
 	if t.IsZero() {
 		return time.Time{}
 	}
@@ -156,22 +160,23 @@
 	return &d.Services[i]
 }
 
-// Target names what settings are asked for. Empty names match no exception.
+// Target identifies the object whose settings are queried. Empty names match no
+// exception.
 type Target struct {
 	Service       string
 	Zone          string
 	BackendServer string
 }
 
-// EffectiveSettings returns the settings for a target at now: the defaults, overridden
-// by the exceptions that have not expired, the narrower scope last.
+// EffectiveSettings returns the settings of a target at time now: the defaults,
+// overridden by the unexpired exceptions, from the widest scope to the narrowest.
 func (d *Document) EffectiveSettings(target Target, now time.Time) Settings {
 	settings := d.Defaults
-	for _, scope := range anyScope {
+	for _, scope := range allScopes {
 		for i := range d.Exceptions {
 			e := &d.Exceptions[i]
-			if e.Scope == scope && target.name(scope) == e.Target && !e.Expired(now) {
-				// A machine's document was validated, so the value parses.
+			if e.Scope == scope && target.nameFor(scope) == e.Target && !e.Expired(now) {
+				// The StateMachine validated the document, so Set cannot fail.
 				_ = settings.Set(e.Key, e.Value)
 			}
 		}
@@ -179,7 +184,7 @@
 	return settings
 }
 
-func (t Target) name(scope Scope) string {
+func (t Target) nameFor(scope Scope) string {
 	switch scope {
 	case ScopeZone:
 		return t.Zone
@@ -190,7 +195,7 @@
 	}
 }
 
-// ExpiredExceptions returns the exceptions that have ended at now.
+// ExpiredExceptions returns the exceptions that have expired at time now.
 func (d *Document) ExpiredExceptions(now time.Time) []Exception {
 	var expired []Exception
 	for _, e := range d.Exceptions {
--- a/core/fleet/example_test.go
+++ b/core/fleet/example_test.go
@@ -7,8 +7,8 @@
 	"fulmarmount.org/core/fleet"
 )
 
-// Two operators start from the same version; one wins, and the resend of its
-// lost answer gets that answer again.
+// Two operators base their commands on the same version. One command is accepted, and
+// resending it after its response was lost returns the same result.
 func Example() {
 	order := &fleet.Document{
 		Defaults: fleet.DefaultSettings(),
--- a/core/fleet/fleet_test.go
+++ b/core/fleet/fleet_test.go
@@ -13,7 +13,7 @@
 	"github.com/matryer/is"
 )
 
-var start = time.Date(2026, 3, 1, 9, 0, 0, 0, time.UTC)
+var startTime = time.Date(2026, 3, 1, 9, 0, 0, 0, time.UTC)
 
 func addrs(list ...string) []netip.AddrPort {
 	var out []netip.AddrPort
@@ -31,14 +31,14 @@
 	return &Document{Defaults: DefaultSettings(), Services: services}
 }
 
-func sample() *Document {
+func sampleDocument() *Document {
 	desk := service("order-desk", 443)
 	desk.Mode, desk.Share = ModeRequest, 400_000
 	desk.Classes = []Class{{"amendment", 0, 1, 500_000}, {"rest", 2, 7, 200_000}}
 	desk.RepeatableRoutes = []Route{{"GET", "/"}, {"PUT", "/orders/"}}
 	d := document(service("catalogue", 444), desk)
 	d.Exceptions = []Exception{
-		{"a-zone", ScopeZone, "sejong-a", "weight", "40", "half its uplink is under repair", start.Add(time.Hour)},
+		{"a-zone", ScopeZone, "sejong-a", "weight", "40", "half its uplink is under repair", startTime.Add(time.Hour)},
 		{"b-desk", ScopeService, "order-desk", "weight", "80", "leaves room for the season's peak", time.Time{}},
 		{"c-host", ScopeBackendServer, "order-desk-3", "weight", "20", "old disk, replaced in May", time.Time{}},
 	}
@@ -85,7 +85,7 @@
 			`exception "a-zone" already sets weight of zone "sejong-a"`,
 		},
 	}
-	all := sample()
+	all := sampleDocument()
 	all.Services[0].Mode, all.Exceptions[0].Reason, all.Exceptions[1].Value = "", "", "x"
 	if got := len(all.Validate()); got != 3 {
 		t.Errorf("%d problems of 3", got)
@@ -93,7 +93,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			d := sample()
+			d := sampleDocument()
 			tt.mutate(d)
 			var lines []string
 			for _, p := range d.Validate() {
@@ -107,18 +107,18 @@
 }
 
 func TestEffectiveSettings(t *testing.T) {
-	d := sample()
+	d := sampleDocument()
 	tests := []struct {
 		target Target
 		at     time.Time
 		weight uint32
 	}{
-		{Target{"catalogue", "sejong-b", "catalogue-1"}, start, 100},
-		{Target{"catalogue", "sejong-a", "catalogue-2"}, start, 40},
-		{Target{"catalogue", "sejong-a", "catalogue-2"}, start.Add(time.Hour), 100}, // expired
-		{Target{"order-desk", "sejong-a", "order-desk-1"}, start, 80},
-		{Target{"order-desk", "sejong-a", "order-desk-3"}, start, 20},
-		{Target{}, start, 100},
+		{Target{"catalogue", "sejong-b", "catalogue-1"}, startTime, 100},
+		{Target{"catalogue", "sejong-a", "catalogue-2"}, startTime, 40},
+		{Target{"catalogue", "sejong-a", "catalogue-2"}, startTime.Add(time.Hour), 100}, // expired
+		{Target{"order-desk", "sejong-a", "order-desk-1"}, startTime, 80},
+		{Target{"order-desk", "sejong-a", "order-desk-3"}, startTime, 20},
+		{Target{}, startTime, 100},
 	}
 	for _, tt := range tests {
 		is := is.New(t)
@@ -126,9 +126,9 @@
 		is.Equal(NewResolver(d, tt.at).EffectiveSettings(tt.target), d.EffectiveSettings(tt.target, tt.at))
 	}
 	is := is.New(t)
-	is.Equal(len(d.ExpiredExceptions(start)), 0)
-	is.Equal(NewResolver(d, start.Add(time.Hour)).ExpiredCount(), 1)
-	is.Equal(d.ExpiredExceptions(start.Add(time.Hour))[0].Name, "a-zone")
+	is.Equal(len(d.ExpiredExceptions(startTime)), 0)
+	is.Equal(NewResolver(d, startTime.Add(time.Hour)).ExpiredCount(), 1)
+	is.Equal(d.ExpiredExceptions(startTime.Add(time.Hour))[0].Name, "a-zone")
 }
 
 func TestSettingsTextRoundTrip(t *testing.T) {
@@ -156,7 +156,7 @@
 	}
 }
 
-func TestOperatorsRaceAndResend(t *testing.T) {
+func TestConcurrentAndResentCommands(t *testing.T) {
 	one, two := document(service("one", 1)), document(service("two", 2))
 	apply := func(id string, expected uint64, d *Document) Command {
 		return Command{Kind: KindApply, RequestID: id, ExpectedVersion: expected, Document: d}
@@ -167,7 +167,7 @@
 	rollback := func(id string, expected, to uint64) Command {
 		return Command{Kind: KindRollback, RequestID: id, ExpectedVersion: expected, RollbackVersion: to}
 	}
-	whole := func(id string, expected uint64) Command {
+	applyPatch := func(id string, expected uint64) Command {
 		return Command{Kind: KindApply, RequestID: id, ExpectedVersion: expected, Patch: &Patch{DeleteServices: []string{"one"}}}
 	}
 	drain := Command{Kind: KindDrain, BackendServer: "one-1"}
@@ -180,21 +180,21 @@
 		name  string
 		steps []step
 	}{
-		{"equal versions", []step{{apply("a", 0, one), OutcomeAccepted, 1}, {apply("b", 0, two), OutcomeConflict, 1}}},
-		{"equal versions, equal documents", []step{{apply("a", 0, one), OutcomeAccepted, 1}, {apply("b", 0, one), OutcomeConflict, 1}}},
-		{"resend of the winner", []step{{apply("a", 0, one), OutcomeAccepted, 1}, {apply("b", 1, two), OutcomeAccepted, 2}, {apply("a", 0, one), OutcomeAccepted, 1}}},
-		{"resend of the loser", []step{{apply("a", 0, one), OutcomeAccepted, 1}, {apply("b", 0, two), OutcomeConflict, 1}, {apply("c", 1, two), OutcomeAccepted, 2}, {apply("b", 0, two), OutcomeConflict, 1}}},
-		{"resend of an invalid one", []step{{apply("a", 0, document(service("X", 1))), OutcomeInvalid, 0}, {apply("b", 0, one), OutcomeAccepted, 1}, {apply("a", 0, document(service("X", 1))), OutcomeInvalid, 0}}},
-		{"request ID of another document", []step{{apply("a", 0, one), OutcomeAccepted, 1}, {apply("a", 0, two), OutcomeRequestIDReused, 1}, {apply("a", 1, two), OutcomeRequestIDReused, 1}}},
+		{"same expected version", []step{{apply("a", 0, one), OutcomeAccepted, 1}, {apply("b", 0, two), OutcomeConflict, 1}}},
+		{"same expected version, equal documents", []step{{apply("a", 0, one), OutcomeAccepted, 1}, {apply("b", 0, one), OutcomeConflict, 1}}},
+		{"resend of an accepted command", []step{{apply("a", 0, one), OutcomeAccepted, 1}, {apply("b", 1, two), OutcomeAccepted, 2}, {apply("a", 0, one), OutcomeAccepted, 1}}},
+		{"resend of a conflicting command", []step{{apply("a", 0, one), OutcomeAccepted, 1}, {apply("b", 0, two), OutcomeConflict, 1}, {apply("c", 1, two), OutcomeAccepted, 2}, {apply("b", 0, two), OutcomeConflict, 1}}},
+		{"resend of an invalid command", []step{{apply("a", 0, document(service("X", 1))), OutcomeInvalid, 0}, {apply("b", 0, one), OutcomeAccepted, 1}, {apply("a", 0, document(service("X", 1))), OutcomeInvalid, 0}}},
+		{"request ID reused for another document", []step{{apply("a", 0, one), OutcomeAccepted, 1}, {apply("a", 0, two), OutcomeRequestIDReused, 1}, {apply("a", 1, two), OutcomeRequestIDReused, 1}}},
 		{"without request ID", []step{{apply("", 0, one), OutcomeAccepted, 1}, {apply("", 0, one), OutcomeConflict, 1}}},
 		{"patches of two services", []step{{put("a", 0, service("one", 1)), OutcomeAccepted, 1}, {put("b", 0, service("two", 2)), OutcomeAccepted, 2}}},
 		{"patches of one service", []step{{put("a", 0, service("one", 1)), OutcomeAccepted, 1}, {put("b", 0, service("one", 2)), OutcomeConflict, 1}, {put("c", 1, service("one", 2)), OutcomeAccepted, 2}}},
-		{"patches that take one address", []step{{put("a", 0, service("one", 1)), OutcomeAccepted, 1}, {put("b", 0, service("two", 1)), OutcomeInvalid, 1}}},
-		{"whole document as a patch", []step{{apply("a", 0, one), OutcomeAccepted, 1}, {whole("b", 1), OutcomeAccepted, 2}, {whole("c", 1), OutcomeConflict, 2}, {whole("b", 1), OutcomeAccepted, 2}}},
-		{"patch from the future", []step{{put("a", 5, service("one", 1)), OutcomeConflict, 0}}},
+		{"patches that use the same address", []step{{put("a", 0, service("one", 1)), OutcomeAccepted, 1}, {put("b", 0, service("two", 1)), OutcomeInvalid, 1}}},
+		{"apply with a patch", []step{{apply("a", 0, one), OutcomeAccepted, 1}, {applyPatch("b", 1), OutcomeAccepted, 2}, {applyPatch("c", 1), OutcomeConflict, 2}, {applyPatch("b", 1), OutcomeAccepted, 2}}},
+		{"patch of a future version", []step{{put("a", 5, service("one", 1)), OutcomeConflict, 0}}},
 		{"rollback is a new version", []step{{apply("a", 0, one), OutcomeAccepted, 1}, {apply("b", 1, two), OutcomeAccepted, 2}, {rollback("c", 2, 1), OutcomeAccepted, 3}, {rollback("d", 2, 1), OutcomeConflict, 3}, {rollback("e", 3, 9), OutcomeNotFound, 3}}},
-		{"drain leaves the version", []step{{apply("a", 0, one), OutcomeAccepted, 1}, {drain, OutcomeAccepted, 1}, {drain, OutcomeAccepted, 1}, {apply("b", 1, two), OutcomeAccepted, 2}}},
-		{"cancel of no drain", []step{{Command{Kind: KindCancelDrain, BackendServer: "one-1"}, OutcomeNotFound, 0}}},
+		{"drain does not change the version", []step{{apply("a", 0, one), OutcomeAccepted, 1}, {drain, OutcomeAccepted, 1}, {drain, OutcomeAccepted, 1}, {apply("b", 1, two), OutcomeAccepted, 2}}},
+		{"cancel without a drain", []step{{Command{Kind: KindCancelDrain, BackendServer: "one-1"}, OutcomeNotFound, 0}}},
 		{"malformed", []step{{Command{}, OutcomeInvalid, 0}, {Command{Kind: KindApply}, OutcomeInvalid, 0}, {Command{Kind: KindPatch}, OutcomeInvalid, 0}, {Command{Kind: KindDrain}, OutcomeInvalid, 0}}},
 	}
 	for _, tt := range tests {
@@ -206,7 +206,7 @@
 				got := m.Apply(uint64(i+1), s.command)
 				is.Equal(got.Outcome, s.outcome)
 				is.Equal(got.Version, s.version)
-				m, err = Restore(m.Snapshot()) // every step also outlives a snapshot
+				m, err = Restore(m.Snapshot()) // also restore a snapshot after every step
 				is.NoErr(err)
 			}
 		})
@@ -220,15 +220,15 @@
 	for i, d := range documents {
 		is.Equal(m.Apply(uint64(i+1), Command{Kind: KindApply, ExpectedVersion: uint64(i), Document: d}).Outcome, OutcomeAccepted)
 	}
-	is.Equal(m.Document().Service("b").ID, documents[1].Service("b").ID) // kept while it lives
-	is.Equal(uint32(m.Document().Service("a").ID), uint32(3))            // deleted and made again
+	is.Equal(m.Document().Service("b").ID, documents[1].Service("b").ID) // unchanged while the service exists
+	is.Equal(uint32(m.Document().Service("a").ID), uint32(3))            // deleted and created again
 	is.Equal(m.Apply(9, Command{Kind: KindRollback, ExpectedVersion: 3, RollbackVersion: 1}).Outcome, OutcomeAccepted)
-	is.Equal(m.Document().Service("a").ID, documents[2].Service("a").ID) // kept through the rollback
+	is.Equal(m.Document().Service("a").ID, documents[2].Service("a").ID) // unchanged by the rollback
 	is.Equal(m.Apply(10, Command{Kind: KindRollback, ExpectedVersion: 4, RollbackVersion: 2}).Outcome, OutcomeAccepted)
 	is.Equal(uint32(m.Document().Service("b").ID), uint32(4))
 }
 
-func TestBoundedMemory(t *testing.T) {
+func TestHistoryAndResultCacheAreBounded(t *testing.T) {
 	is := is.New(t)
 	m := New()
 	patch := func(i int) Command {
@@ -237,18 +237,18 @@
 			Patch: &Patch{PutServices: []Service{service("a", 1+i%60_000)}},
 		}
 	}
-	for i := range maxAnswers + 10 {
+	for i := range maxCachedResults + 10 {
 		is.Equal(m.Apply(uint64(i+1), patch(i)).Outcome, OutcomeAccepted)
 	}
-	is.Equal(len(m.answers.list), maxAnswers)
-	is.Equal(len(m.answers.byID), maxAnswers)
-	is.Equal(len(m.history.entries), maxHistory)
-	is.Equal(m.Apply(20_000, patch(10)).Version, uint64(11))                // the oldest that is remembered
-	is.Equal(m.Apply(20_001, patch(9)).Outcome, OutcomeConflict)            // forgotten, and still not run twice
-	is.Equal(m.Apply(20_000, patch(maxAnswers+10)).Outcome, OutcomeInvalid) // an index twice
-	m.Apply(20_001+answersWindow, Command{Kind: KindDrain, BackendServer: "x"})
-	is.Equal(len(m.answers.list), 0)
-	_, ok := m.DocumentAt(m.Version() - maxHistory - 1)
+	is.Equal(len(m.resultCache.results), maxCachedResults)
+	is.Equal(len(m.resultCache.byID), maxCachedResults)
+	is.Equal(len(m.history.entries), maxHistoryVersions)
+	is.Equal(m.Apply(20_000, patch(10)).Version, uint64(11))                      // the oldest cached result
+	is.Equal(m.Apply(20_001, patch(9)).Outcome, OutcomeConflict)                  // evicted, but still not executed twice
+	is.Equal(m.Apply(20_000, patch(maxCachedResults+10)).Outcome, OutcomeInvalid) // an index that was already applied
+	m.Apply(20_001+cachedResultWindow, Command{Kind: KindDrain, BackendServer: "x"})
+	is.Equal(len(m.resultCache.results), 0)
+	_, ok := m.DocumentAt(m.Version() - maxHistoryVersions - 1)
 	is.True(!ok)
 
 	big := newHistory(nil)
@@ -258,52 +258,52 @@
 	is.Equal(len(big.entries), 1)
 }
 
-// TestAgainstNaiveHistory runs random commands on a machine that keeps undo
-// patches, on a second one that is snapshot and restored at random points, and
-// on a naive one that keeps every document whole.
-func TestAgainstNaiveHistory(t *testing.T) {
+// TestHistoryMatchesReferenceModel applies random commands to a state machine, to a
+// second one that is restored from snapshots at random points, and to a reference
+// model that stores every document in full instead of undo patches.
+func TestHistoryMatchesReferenceModel(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 7))
-		m, twin := New(), New()
-		naive := []*Document{document()}
-		first := map[string]Result{}
+		m, restored := New(), New()
+		reference := []*Document{document()}
+		firstResults := map[string]Result{}
 		for index := uint64(1); index <= 120; index++ {
 			version := m.Version()
 			command := func() Command { return randomCommand(rand.New(rand.NewPCG(seed, index)), version) }
-			got, same := m.Apply(index, command()), twin.Apply(index, command())
+			got, same := m.Apply(index, command()), restored.Apply(index, command())
 			if !reflect.DeepEqual(got, same) {
-				t.Fatalf("seed %d index %d: replicas answer %v and %v", seed, index, got, same)
+				t.Fatalf("seed %d index %d: replicas return %v and %v", seed, index, got, same)
 			}
 			c := command()
-			if earlier, ok := first[c.RequestID]; ok && got.Outcome != OutcomeRequestIDReused && !reflect.DeepEqual(got, earlier) {
-				t.Fatalf("seed %d index %d: resend got %v, first %v", seed, index, got, earlier)
+			if earlier, ok := firstResults[c.RequestID]; ok && got.Outcome != OutcomeRequestIDReused && !reflect.DeepEqual(got, earlier) {
+				t.Fatalf("seed %d index %d: resent command returned %v, first %v", seed, index, got, earlier)
 			} else if !ok {
-				first[c.RequestID] = got
+				firstResults[c.RequestID] = got
 			}
-			if got.Version == uint64(len(naive)) {
-				naive = append(naive, naiveApply(naive, c))
+			if got.Version == uint64(len(reference)) {
+				reference = append(reference, applyToReference(reference, c))
 			}
 			if rng.IntN(10) == 0 {
 				var err error
-				if twin, err = Restore(twin.Snapshot()); err != nil {
+				if restored, err = Restore(restored.Snapshot()); err != nil {
 					t.Fatal(err)
 				}
 			}
 		}
-		for version, want := range naive {
+		for version, want := range reference {
 			got, ok := m.DocumentAt(uint64(version))
 			if diff := Diff(got, want); !ok || diff.Size() != 0 {
 				t.Fatalf("seed %d: version %d differs by %+v", seed, version, diff)
 			}
 		}
-		if !reflect.DeepEqual(m.Snapshot(), twin.Snapshot()) {
+		if !reflect.DeepEqual(m.Snapshot(), restored.Snapshot()) {
 			t.Fatalf("seed %d: replicas differ", seed)
 		}
 	}
 }
 
 func randomCommand(rng *rand.Rand, version uint64) Command {
-	c := Command{RequestID: fmt.Sprint(rng.IntN(90)), ExpectedVersion: version - min(version, uint64(rng.IntN(6)/4)), ProposedAt: start}
+	c := Command{RequestID: fmt.Sprint(rng.IntN(90)), ExpectedVersion: version - min(version, uint64(rng.IntN(6)/4)), ProposedAt: startTime}
 	random := func() Service { return service(fmt.Sprintf("s%d", rng.IntN(8)), 1+rng.IntN(200)) }
 	switch rng.IntN(6) {
 	case 0:
@@ -322,7 +322,7 @@
 	return c
 }
 
-func naiveApply(versions []*Document, c Command) *Document {
+func applyToReference(versions []*Document, c Command) *Document {
 	current := versions[len(versions)-1]
 	switch c.Kind {
 	case KindApply:
@@ -342,26 +342,26 @@
 	return next
 }
 
-func TestDamagedSnapshotsAreRefused(t *testing.T) {
+func TestRestoreRejectsInvalidSnapshots(t *testing.T) {
 	is := is.New(t)
 	m := New()
-	is.Equal(m.Apply(1, Command{Kind: KindApply, Document: sample()}).Outcome, OutcomeAccepted)
-	for name, damage := range map[string]func(s *Snapshot){
+	is.Equal(m.Apply(1, Command{Kind: KindApply, Document: sampleDocument()}).Outcome, OutcomeAccepted)
+	for name, corrupt := range map[string]func(s *Snapshot){
 		"format":   func(s *Snapshot) { s.Format++ },
 		"document": func(s *Snapshot) { s.Document.Defaults.LeaseDuration = 0 },
-		"ID":       func(s *Snapshot) { s.NextID = 1 },
+		"ID":       func(s *Snapshot) { s.NextServiceID = 1 },
 		"history":  func(s *Snapshot) { s.Version++ },
 	} {
 		s := m.Snapshot()
-		damage(&s)
+		corrupt(&s)
 		_, err := Restore(s)
 		if err == nil {
-			t.Errorf("%s: restored", name)
+			t.Errorf("%s: invalid snapshot was restored", name)
 		}
 	}
 }
 
-func wide(services int) *Document {
+func largeDocument(services int) *Document {
 	d := document()
 	for i := range services {
 		s := service(fmt.Sprintf("service-%05d", i), 443)
@@ -371,10 +371,10 @@
 	return d
 }
 
-// BenchmarkPatch changes one service of the fleet of two years from now.
+// BenchmarkPatch changes one service of a fleet of the size expected in two years.
 func BenchmarkPatch(b *testing.B) {
 	m := New()
-	m.Apply(1, Command{Kind: KindApply, Document: wide(19_000)})
+	m.Apply(1, Command{Kind: KindApply, Document: largeDocument(19_000)})
 	changed := slices.Clone(m.Document().Services[9_000:9_001])
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
@@ -386,10 +386,10 @@
 	}
 }
 
-// BenchmarkEffective asks for the settings of every service of the fleet of two
-// years from now, with the most exceptions that a document may hold.
+// BenchmarkEffective computes the effective settings of every service of a fleet of the
+// size expected in two years, with the maximum number of exceptions.
 func BenchmarkEffective(b *testing.B) {
-	d := wide(19_000)
+	d := largeDocument(19_000)
 	for i := range maxExceptions {
 		d.Exceptions = append(d.Exceptions, Exception{
 			Name: fmt.Sprint(i), Scope: ScopeService, Target: d.Services[19*i].Name, Key: "weight", Value: "50",
@@ -397,7 +397,7 @@
 	}
 	b.Run("resolver", func(b *testing.B) {
 		for b.Loop() {
-			r := NewResolver(d, start)
+			r := NewResolver(d, startTime)
 			for i := range d.Services {
 				r.EffectiveSettings(Target{Service: d.Services[i].Name})
 			}
@@ -406,7 +406,7 @@
 	b.Run("document", func(b *testing.B) {
 		for b.Loop() {
 			for i := range d.Services {
-				d.EffectiveSettings(Target{Service: d.Services[i].Name}, start)
+				d.EffectiveSettings(Target{Service: d.Services[i].Name}, startTime)
 			}
 		}
 	})
--- a/core/fleet/history.go
+++ b/core/fleet/history.go
@@ -7,8 +7,8 @@
 
 // Limits of the history.
 const (
-	maxHistory      = 1_000   // versions
-	maxHistoryItems = 100_000 // services, exceptions and defaults over all versions
+	maxHistoryVersions = 1_000   // versions
+	maxHistoryItems    = 100_000 // services, exceptions and defaults over all versions
 )
 
 // HistoryEntry describes one version of the document.
@@ -18,15 +18,14 @@
 	Author     string      `cbor:"3,keyasint" json:"author"`
 	ProposedAt time.Time   `cbor:"4,keyasint" json:"at"`
 	Comment    string      `cbor:"5,keyasint" json:"comment"`
-	// Undo turns this version into the one before.
+	// Undo is the patch that reverts this version to the previous one.
 	Undo Patch `cbor:"6,keyasint" json:"-"`
 }
 
-// history holds the entries of the last versions, the oldest first. Versions
-// follow each other without gaps.
+// history stores the entries of the latest versions, oldest first and without gaps.
 type history struct {
-	entries []HistoryEntry
-	items   int
+	entries   []HistoryEntry
+	itemCount int
 }
 
 func newHistory(entries []HistoryEntry) *history {
@@ -39,54 +38,54 @@
 
 func (h *history) add(e HistoryEntry) {
 	h.entries = append(h.entries, e)
-	h.items += e.Undo.Size()
+	h.itemCount += e.Undo.Size()
 	drop := 0
-	for len(h.entries)-drop > 1 && (len(h.entries)-drop > maxHistory || h.items > maxHistoryItems) {
-		h.items -= h.entries[drop].Undo.Size()
+	for len(h.entries)-drop > 1 && (len(h.entries)-drop > maxHistoryVersions || h.itemCount > maxHistoryItems) {
+		h.itemCount -= h.entries[drop].Undo.Size()
 		drop++
 	}
 	h.entries = slices.Delete(h.entries, 0, drop)
 }
 
-// since returns the entries of the versions after version. It is false where
-// some of them are forgotten.
-func (h *history) since(version, current uint64) ([]HistoryEntry, bool) {
+// entriesSince returns the entries of the versions after version, or false if some of
+// them are no longer stored or version is greater than current.
+func (h *history) entriesSince(version, current uint64) ([]HistoryEntry, bool) {
 	if version > current || current-version > uint64(len(h.entries)) {
 		return nil, false
 	}
 	return h.entries[len(h.entries)-int(current-version):], true
 }
 
-// undoAll returns one patch that undoes entries, the newest first.
-func undoAll(entries []HistoryEntry) Patch {
+// combineUndo returns a single patch that reverts all entries, newest first.
+func combineUndo(entries []HistoryEntry) Patch {
 	services := make(map[string]*Service)
 	exceptions := make(map[string]*Exception)
-	var all Patch
+	var combined Patch
 	for _, e := range slices.Backward(entries) {
 		if e.Undo.Defaults != nil {
-			all.Defaults = e.Undo.Defaults
+			combined.Defaults = e.Undo.Defaults
 		}
-		collect(services, e.Undo.PutServices, e.Undo.DeleteServices, serviceName)
-		collect(exceptions, e.Undo.PutExceptions, e.Undo.DeleteExceptions, exceptionName)
+		recordLatest(services, e.Undo.PutServices, e.Undo.DeleteServices, serviceName)
+		recordLatest(exceptions, e.Undo.PutExceptions, e.Undo.DeleteExceptions, exceptionName)
 	}
-	all.PutServices, all.DeleteServices = flatten(services)
-	all.PutExceptions, all.DeleteExceptions = flatten(exceptions)
-	all.normalize()
-	return all
+	combined.PutServices, combined.DeleteServices = splitChanges(services)
+	combined.PutExceptions, combined.DeleteExceptions = splitChanges(exceptions)
+	combined.normalize()
+	return combined
 }
 
-// collect records the last word on each item; nil stands for deleted.
-func collect[T any](last map[string]*T, put []T, deleted []string, name func(*T) string) {
+// recordLatest sets the latest state of each changed item. Deleted items are nil.
+func recordLatest[T any](latest map[string]*T, put []T, deleted []string, name func(*T) string) {
 	for _, n := range deleted {
-		last[n] = nil
+		latest[n] = nil
 	}
 	for i := range put {
-		last[name(&put[i])] = &put[i]
+		latest[name(&put[i])] = &put[i]
 	}
 }
 
-func flatten[T any](last map[string]*T) (put []T, deleted []string) {
-	for n, item := range last {
+func splitChanges[T any](latest map[string]*T) (put []T, deleted []string) {
+	for n, item := range latest {
 		if item == nil {
 			deleted = append(deleted, n)
 			continue
--- a/core/fleet/import.go
+++ b/core/fleet/import.go
@@ -6,134 +6,136 @@
 	"time"
 )
 
-// Listener is an address that leads to services of mode segment.
+// Listener is an address whose flows are forwarded to services of mode segment.
 type Listener struct {
-	// Name is the operators' name of the listener.
+	// Name is the name of the listener as configured by the operators.
 	Name    string         `cbor:"1,keyasint" json:"name"`
 	Address netip.AddrPort `cbor:"2,keyasint" json:"address"`
-	// WeightedServices are the services that new flows go to, by weight.
+	// WeightedServices are the services to which new flows are assigned, by weight.
 	WeightedServices []WeightedService `cbor:"3,keyasint" json:"portions"`
-	// Timeout is how long a caller waits for an answer at most.
+	// Timeout is the longest time that a caller waits for a response.
 	Timeout time.Duration `cbor:"4,keyasint" json:"timeout"`
-	// LatencyObjective is the time within which an answer is of full use.
+	// LatencyObjective is the response time within which a response has its full
+	// value for the caller.
 	LatencyObjective time.Duration `cbor:"5,keyasint" json:"objective"`
 	// Urgency is 0 for the most urgent requests.
 	Urgency uint8 `cbor:"6,keyasint" json:"urgency"`
-	// Idempotent requests may run more than once.
+	// Idempotent is set if requests may be executed more than once.
 	Idempotent bool `cbor:"7,keyasint" json:"idempotent"`
-	// PreviousServices are services that the listener led to before and that may still hold
-	// flows of it. The Machine keeps them.
+	// PreviousServices are services to which the listener assigned flows earlier and
+	// that may still have such flows. The StateMachine maintains them.
 	PreviousServices []string `cbor:"8,keyasint,omitempty" json:"former,omitempty"`
 }
 
-// WeightedService is a service's share of the new flows of a listener.
+// WeightedService is a service with its weight among the services of a listener.
 type WeightedService struct {
 	Service string `cbor:"1,keyasint" json:"service"`
 	Weight  uint32 `cbor:"2,keyasint" json:"weight"`
 }
 
-// Import is a document that another system numbers. Of imports, the one with the
-// highest number is in force, in whatever order they arrive.
+// Import is a numbered document of another system. The import with the highest number
+// is active, regardless of the order of arrival.
 type Import struct {
 	Number uint64 `cbor:"1,keyasint" json:"number"`
-	// RawDocument is the document as the other system wrote it.
+	// RawDocument is the document in the other system's format.
 	RawDocument []byte `cbor:"2,keyasint" json:"source"`
 }
 
-// ActiveImport returns the import in force; its number is 0 where there is none.
-// Treat its source as read-only.
-func (m *StateMachine) ActiveImport() Import { return m.imported }
+// ActiveImport returns the active import. Its number is 0 if there is none. Treat its
+// RawDocument as read-only.
+func (m *StateMachine) ActiveImport() Import { return m.activeImport }
 
-// importDocument installs the document of an import that is newer than the one
-// in force. An older one, or one of the same number, is accepted and changes
-// nothing. Versions before an import can't be returned to.
+// importDocument installs the document of an import whose number is higher than the
+// active one's. An import with a lower or the same number is accepted without effect.
+// Versions before an import cannot be restored.
 func (m *StateMachine) importDocument(c *Command) Result {
-	if c.Import.Number <= m.imported.Number {
-		return m.result(OutcomeAccepted)
+	if c.Import.Number <= m.activeImport.Number {
+		return m.newResult(OutcomeAccepted)
 	}
 	if problems := c.Document.Validate(); len(problems) > 0 {
-		return m.invalid(problems...)
+		return m.invalidResult(problems...)
 	}
 	m.assignIDs(c.Document)
-	keepFormer(m.document, c.Document)
+	recordPreviousServices(m.document, c.Document)
 	m.document = c.Document
-	m.imported = *c.Import
+	m.activeImport = *c.Import
 	m.version++
 	m.revision++
 	m.history = newHistory(nil)
-	return m.result(OutcomeAccepted)
+	return m.newResult(OutcomeAccepted)
 }
 
-// maxFormer bounds the former services of a listener.
-const maxFormer = 8
+// maxPreviousServices limits the PreviousServices of a listener.
+const maxPreviousServices = 8
 
-// keepFormer notes in next the services that its listeners led to in before. Both
-// lists are sorted by address.
-func keepFormer(before, next *Document) {
-	old := before.Listeners
+// recordPreviousServices sets the PreviousServices of the listeners in next from the
+// listeners in previous. The listeners of both are sorted by address.
+func recordPreviousServices(previous, next *Document) {
+	listeners := previous.Listeners
 	for i := range next.Listeners {
 		l := &next.Listeners[i]
-		for len(old) > 0 && old[0].Address.Compare(l.Address) < 0 {
-			old = old[1:]
+		for len(listeners) > 0 && listeners[0].Address.Compare(l.Address) < 0 {
+			listeners = listeners[1:]
 		}
 		l.PreviousServices = nil
-		if len(old) > 0 && old[0].Address == l.Address {
-			l.PreviousServices = former(&old[0], l, next)
+		if len(listeners) > 0 && listeners[0].Address == l.Address {
+			l.PreviousServices = previousServices(&listeners[0], l, next)
 		}
 	}
 }
 
-// former returns the services that before led to and next does not.
-func former(before, next *Listener, d *Document) []string {
-	names := make([]string, 0, len(before.WeightedServices)+len(before.PreviousServices))
-	for _, p := range before.WeightedServices {
-		names = append(names, p.Service)
+// previousServices returns the existing services that listener previous has, or had
+// earlier, and listener next has not.
+func previousServices(previous, next *Listener, d *Document) []string {
+	names := make([]string, 0, len(previous.WeightedServices)+len(previous.PreviousServices))
+	for _, w := range previous.WeightedServices {
+		names = append(names, w.Service)
 	}
-	names = append(names, before.PreviousServices...)
+	names = append(names, previous.PreviousServices...)
 	names = slices.DeleteFunc(names, func(name string) bool {
-		leads := func(p WeightedService) bool { return p.Service == name }
-		return d.Service(name) == nil || slices.ContainsFunc(next.WeightedServices, leads)
+		isCurrent := func(w WeightedService) bool { return w.Service == name }
+		return d.Service(name) == nil || slices.ContainsFunc(next.WeightedServices, isCurrent)
 	})
-	return nonEmpty(names[:min(len(names), maxFormer)])
+	return nilIfEmpty(names[:min(len(names), maxPreviousServices)])
 }
 
-// ListenerSectionPrefix begins the section of a problem of a listener.
+// ListenerSectionPrefix is the prefix of the section of a problem of a listener.
 const ListenerSectionPrefix = "listener."
 
 const maxListeners = 100_000
 
-func (v *validator) listeners() {
+func (v *validator) checkListeners() {
 	listeners := v.document.Listeners
-	v.prefix, v.item = "", ""
+	v.sectionPrefix, v.itemName = "", ""
 	if len(listeners) > maxListeners {
-		v.add("", "%d listeners are more than %d", len(listeners), maxListeners)
+		v.report("", "%d listeners are more than %d", len(listeners), maxListeners)
 	}
 	for i := range listeners {
-		v.prefix, v.item = ListenerSectionPrefix, listeners[i].Name
-		v.listener(&listeners[i])
+		v.sectionPrefix, v.itemName = ListenerSectionPrefix, listeners[i].Name
+		v.checkListener(&listeners[i])
 	}
 }
 
-func (v *validator) listener(l *Listener) {
-	v.address("address", ListenerSectionPrefix+l.Name, l.Address)
+func (v *validator) checkListener(l *Listener) {
+	v.checkAddress("address", ListenerSectionPrefix+l.Name, l.Address)
 	if l.Timeout <= 0 {
-		v.add("timeout", "%s is not positive", l.Timeout)
+		v.report("timeout", "%s is not positive", l.Timeout)
 	}
 	var total uint64
-	for i, p := range l.WeightedServices {
-		total += uint64(p.Weight)
-		s := v.document.Service(p.Service)
+	for i, w := range l.WeightedServices {
+		total += uint64(w.Weight)
+		s := v.document.Service(w.Service)
 		switch {
 		case s == nil:
-			v.add("portions", "service %q does not exist", p.Service)
+			v.report("portions", "service %q does not exist", w.Service)
 		case s.Mode != ModeSegment:
-			v.add("portions", "service %q is of mode %s, not %s", p.Service, s.Mode, ModeSegment)
+			v.report("portions", "service %q is of mode %s, not %s", w.Service, s.Mode, ModeSegment)
 		}
-		if slices.ContainsFunc(l.WeightedServices[:i], func(o WeightedService) bool { return o.Service == p.Service }) {
-			v.add("portions", "duplicate service %q", p.Service)
+		if slices.ContainsFunc(l.WeightedServices[:i], func(o WeightedService) bool { return o.Service == w.Service }) {
+			v.report("portions", "duplicate service %q", w.Service)
 		}
 	}
 	if total == 0 {
-		v.add("portions", "no service has a weight above 0")
+		v.report("portions", "no service has a weight above 0")
 	}
 }
--- a/core/fleet/import_test.go
+++ b/core/fleet/import_test.go
@@ -9,8 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// imported returns a document whose one listener leads to services.
-func imported(services ...string) *Document {
+// listenerDocument returns a document with one listener for the given services.
+func listenerDocument(services ...string) *Document {
 	d := &Document{Defaults: DefaultSettings()}
 	for _, name := range []string{"catalogue-hall", "order-desk"} {
 		d.Services = append(d.Services, Service{Name: name, Mode: ModeSegment})
@@ -27,23 +27,23 @@
 	return Command{Kind: KindImport, Import: &Import{Number: number, RawDocument: []byte{byte(number)}}, Document: d}
 }
 
-func TestHighestImportIsInForceInWhateverOrder(t *testing.T) {
+func TestHighestImportNumberIsActiveInAnyOrder(t *testing.T) {
 	is := is.New(t)
 	for _, order := range [][]uint64{{1, 2, 3}, {3, 2, 1}, {2, 3, 1}, {1, 3, 3}, {3, 1, 3}} {
 		m := New()
 		for i, number := range order {
-			result := m.Apply(uint64(i+1), importCommand(number, imported("order-desk")))
+			result := m.Apply(uint64(i+1), importCommand(number, listenerDocument("order-desk")))
 			is.Equal(result.Outcome, OutcomeAccepted)
 		}
 		is.Equal(m.ActiveImport(), Import{Number: 3, RawDocument: []byte{3}})
 	}
 }
 
-func TestContentOfTheNumberInForceIsNotReplaced(t *testing.T) {
+func TestImportWithActiveNumberHasNoEffect(t *testing.T) {
 	is := is.New(t)
 	m := New()
-	m.Apply(1, importCommand(7, imported("order-desk")))
-	other := importCommand(7, imported("catalogue-hall"))
+	m.Apply(1, importCommand(7, listenerDocument("order-desk")))
+	other := importCommand(7, listenerDocument("catalogue-hall"))
 	other.Import.RawDocument = []byte("other")
 	is.Equal(m.Apply(2, other).Outcome, OutcomeAccepted)
 	is.Equal(m.ActiveImport().RawDocument, []byte{7})
@@ -51,10 +51,10 @@
 	is.Equal(m.Revision(), uint64(1))
 }
 
-func TestInvalidImportsChangeNothing(t *testing.T) {
+func TestInvalidImportHasNoEffect(t *testing.T) {
 	cases := []struct {
 		name   string
-		change func(d *Document)
+		mutate func(d *Document)
 	}{
 		{"unknown service", func(d *Document) { d.Listeners[0].WeightedServices[0].Service = "nobody" }},
 		{"two listeners at one address", func(d *Document) { d.Listeners = append(d.Listeners, d.Listeners[0]) }},
@@ -69,8 +69,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			m := New()
-			d := imported("order-desk")
-			c.change(d)
+			d := listenerDocument("order-desk")
+			c.mutate(d)
 			result := m.Apply(1, importCommand(1, d))
 			is.Equal(result.Outcome, OutcomeInvalid)
 			is.True(len(result.Problems) > 0)
@@ -79,7 +79,7 @@
 	}
 }
 
-func TestSeatsSurviveSnapshotsAndMakeNoVersion(t *testing.T) {
+func TestRegistrationsAreInSnapshotsAndCreateNoVersion(t *testing.T) {
 	is := is.New(t)
 	m := New()
 	one, two := netip.MustParseAddrPort("10.0.0.1:7000"), netip.MustParseAddrPort("10.0.0.2:7000")
@@ -93,12 +93,12 @@
 	is.Equal(restored.RegisteredAgents(), []netip.AddrPort{one})
 }
 
-func TestFormerServicesOfAListenerAreKept(t *testing.T) {
+func TestPreviousServicesOfListenerAreRecorded(t *testing.T) {
 	is := is.New(t)
 	m := New()
 	steps := []struct {
-		services []string
-		former   []string
+		services         []string
+		previousServices []string
 	}{
 		{[]string{"order-desk"}, nil},
 		{[]string{"order-desk", "catalogue-hall"}, nil},
@@ -107,8 +107,8 @@
 		{[]string{"order-desk"}, []string{"catalogue-hall"}},
 	}
 	for i, s := range steps {
-		m.Apply(uint64(i+1), importCommand(uint64(i+1), imported(s.services...)))
-		is.True(slices.Equal(m.Document().Listeners[0].PreviousServices, s.former))
+		m.Apply(uint64(i+1), importCommand(uint64(i+1), listenerDocument(s.services...)))
+		is.True(slices.Equal(m.Document().Listeners[0].PreviousServices, s.previousServices))
 	}
 	restored, err := Restore(m.Snapshot())
 	is.NoErr(err)
--- a/core/fleet/machine.go
+++ b/core/fleet/machine.go
@@ -8,94 +8,95 @@
 	"fulmarmount.org/core/view"
 )
 
-// maxProblems bounds the problems of one result, which is remembered.
+// maxProblems limits the problems of a result, since results are cached.
 const maxProblems = 100
 
-// StateMachine is the replicated state. It is not safe for concurrent use; the
-// documents, drains and entries that it returns are never changed afterwards.
+// StateMachine is the replicated state machine of the fleet's configuration. It is not
+// safe for concurrent use. It never modifies the documents, drains and history entries
+// that it has returned.
 type StateMachine struct {
-	document *Document
-	version  uint64
-	revision uint64
-	nextID   view.ServiceID
-	drains   []Drain // by backend server
-	history  *history
-	answers  *answers
-	index    uint64
-	imported Import
-	seats    map[netip.AddrPort]struct{}
-}
-
-// New returns the state of a fleet before its first command: version 0, the
-// default settings and no service.
+	document         *Document
+	version          uint64
+	revision         uint64
+	nextServiceID    view.ServiceID
+	drains           []Drain // sorted by backend server
+	history          *history
+	resultCache      *resultCache
+	lastIndex        uint64
+	activeImport     Import
+	registeredAgents map[netip.AddrPort]struct{}
+}
+
+// New returns the state machine of a new fleet with version 0, the default settings
+// and no services.
 func New() *StateMachine {
 	return &StateMachine{
-		document: &Document{Defaults: DefaultSettings()},
-		nextID:   1,
-		history:  newHistory(nil),
-		answers:  newAnswers(nil),
-		seats:    newSeats(nil),
+		document:         &Document{Defaults: DefaultSettings()},
+		nextServiceID:    1,
+		history:          newHistory(nil),
+		resultCache:      newResultCache(nil),
+		registeredAgents: newRegisteredAgents(nil),
 	}
 }
 
 // Document returns the current document. Treat it as read-only.
 func (m *StateMachine) Document() *Document { return m.document }
 
-// Version returns the number of the current document.
+// Version returns the version of the current document.
 func (m *StateMachine) Version() uint64 { return m.version }
 
-// Revision returns the number of the current state.
+// Revision returns the revision of the current state.
 func (m *StateMachine) Revision() uint64 { return m.revision }
 
-// Index returns the log index of the last command.
-func (m *StateMachine) Index() uint64 { return m.index }
+// Index returns the log index of the last applied command.
+func (m *StateMachine) Index() uint64 { return m.lastIndex }
 
 // Drains returns the drains, sorted by backend server. Treat them as read-only.
 func (m *StateMachine) Drains() []Drain { return m.drains }
 
-// History returns the entries of the versions that can be returned to, the
-// oldest first. Treat their content as read-only.
+// History returns the entries of the stored versions, oldest first. Treat their
+// content as read-only.
 func (m *StateMachine) History() []HistoryEntry { return slices.Clone(m.history.entries) }
 
-// DocumentAt returns the document as it was at version. It is false where the version
-// is to come or forgotten.
+// DocumentAt returns the document of the given version, or false if the version does
+// not exist yet or is no longer stored.
 func (m *StateMachine) DocumentAt(version uint64) (*Document, bool) {
-	entries, ok := m.history.since(version, m.version)
+	entries, ok := m.history.entriesSince(version, m.version)
 	if !ok {
 		return nil, false
 	}
-	undo := undoAll(entries)
+	undo := combineUndo(entries)
 	return undo.Apply(m.document), true
 }
 
-// Apply executes the command at a log index, which grows from call to call.
+// Apply executes the command at a log index. The index must increase from call to call.
 func (m *StateMachine) Apply(index uint64, c Command) Result {
-	if index <= m.index {
-		return m.invalid(Problem{Section: "command", Message: "log index was applied before"})
+	if index <= m.lastIndex {
+		return m.invalidResult(Problem{Section: "command", Message: "log index was already applied"})
 	}
-	m.index = index
-	m.answers.expire(index)
+	m.lastIndex = index
+	m.resultCache.evict(index)
 	c.normalize()
-	if problems := c.problems(); len(problems) > 0 {
-		return m.invalid(problems...)
+	if problems := c.validate(); len(problems) > 0 {
+		return m.invalidResult(problems...)
 	}
 	if c.RequestID == "" {
 		return m.execute(&c)
 	}
 	digest := c.digest()
-	if first, ok := m.answers.find(c.RequestID); ok {
-		if first.Digest != digest {
-			return m.result(OutcomeRequestIDReused)
+	if cached, ok := m.resultCache.find(c.RequestID); ok {
+		if cached.Digest != digest {
+			return m.newResult(OutcomeRequestIDReused)
 		}
-		return first.Result
+		return cached.Result
 	}
 	result := m.execute(&c)
-	m.answers.add(CachedResult{RequestID: c.RequestID, Digest: digest, Index: index, Result: result})
+	m.resultCache.add(CachedResult{RequestID: c.RequestID, Digest: digest, Index: index, Result: result})
 	return result
 }
 
 func (c *Command) normalize() {
-	c.ProposedAt = wholeSeconds(c.ProposedAt)
+	c.ProposedAt = truncateToSeconds(c.ProposedAt)
 	if c.Document != nil {
 		c.Document.Normalize()
 	}
@@ -115,7 +116,7 @@
 	case KindImport:
 		return m.importDocument(c)
 	case KindRegistrations:
-		return m.changeSeats(c.Registrations)
+		return m.changeRegistrations(c.Registrations)
 	case KindDrain:
 		return m.drain(c)
 	default:
@@ -125,44 +126,44 @@
 
 func (m *StateMachine) apply(c *Command) Result {
 	if c.ExpectedVersion != m.version {
-		return m.result(OutcomeConflict)
+		return m.newResult(OutcomeConflict)
 	}
 	if c.Document != nil {
-		return m.install(c, c.Document)
+		return m.installDocument(c, c.Document)
 	}
-	return m.install(c, c.Patch.Apply(m.document))
+	return m.installDocument(c, c.Patch.Apply(m.document))
 }
 
 func (m *StateMachine) patch(c *Command) Result {
-	newer, ok := m.history.since(c.ExpectedVersion, m.version)
+	entries, ok := m.history.entriesSince(c.ExpectedVersion, m.version)
 	if !ok {
-		return m.result(OutcomeConflict)
+		return m.newResult(OutcomeConflict)
 	}
-	for i := range newer {
-		if newer[i].Undo.touches(c.Patch) {
-			return m.result(OutcomeConflict)
+	for i := range entries {
+		if entries[i].Undo.overlaps(c.Patch) {
+			return m.newResult(OutcomeConflict)
 		}
 	}
-	return m.install(c, c.Patch.Apply(m.document))
+	return m.installDocument(c, c.Patch.Apply(m.document))
 }
 
 func (m *StateMachine) rollback(c *Command) Result {
 	if c.ExpectedVersion != m.version {
-		return m.result(OutcomeConflict)
+		return m.newResult(OutcomeConflict)
 	}
 	earlier, ok := m.DocumentAt(c.RollbackVersion)
 	if !ok {
-		return m.result(OutcomeNotFound)
+		return m.newResult(OutcomeNotFound)
 	}
-	return m.install(c, earlier)
+	return m.installDocument(c, earlier)
 }
 
-// install makes next the current document, if it is valid.
-func (m *StateMachine) install(c *Command, next *Document) Result {
-	// Listeners belong to imports; other commands leave them as they are.
+// installDocument makes next the current document if it is valid.
+func (m *StateMachine) installDocument(c *Command, next *Document) Result {
+	// Only imports change listeners.
 	next.Listeners = m.document.Listeners
 	if problems := next.Validate(); len(problems) > 0 {
-		return m.invalid(problems...)
+		return m.invalidResult(problems...)
 	}
 	m.assignIDs(next)
 	undo := Diff(next, m.document)
@@ -172,25 +173,25 @@
 	m.history.add(HistoryEntry{
 		Version: m.version, Kind: c.Kind, Author: c.Author, ProposedAt: c.ProposedAt, Comment: c.Comment, Undo: undo,
 	})
-	return m.result(OutcomeAccepted)
+	return m.newResult(OutcomeAccepted)
 }
 
-// assignIDs gives services that exist their ID and new ones the next ID. It
-// writes only what differs, since next shares unchanged items with documents
-// that readers hold. Both lists are sorted by name.
+// assignIDs assigns existing services their current IDs and new services new IDs. It
+// writes only IDs that differ, since next shares unchanged items with documents that
+// readers use. The services of both documents are sorted by name.
 func (m *StateMachine) assignIDs(next *Document) {
-	old := m.document.Services
+	previous := m.document.Services
 	for i := range next.Services {
 		s := &next.Services[i]
-		for len(old) > 0 && old[0].Name < s.Name {
-			old = old[1:]
+		for len(previous) > 0 && previous[0].Name < s.Name {
+			previous = previous[1:]
 		}
 		switch {
-		case len(old) == 0 || old[0].Name != s.Name:
-			s.ID = m.nextID
-			m.nextID++
-		case s.ID != old[0].ID:
-			s.ID = old[0].ID
+		case len(previous) == 0 || previous[0].Name != s.Name:
+			s.ID = m.nextServiceID
+			m.nextServiceID++
+		case s.ID != previous[0].ID:
+			s.ID = previous[0].ID
 		}
 	}
 }
@@ -201,37 +202,38 @@
 	})
 }
 
-// drain adds a drain. One that exists stays as it is and is accepted.
+// drain adds a drain. If the backend server already has one, it is accepted without
+// effect.
 func (m *StateMachine) drain(c *Command) Result {
 	i, ok := m.findDrain(c.BackendServer)
 	if ok {
-		return m.result(OutcomeAccepted)
+		return m.newResult(OutcomeAccepted)
 	}
 	if len(m.drains) >= maxDrains {
-		return m.invalid(Problem{Section: "command", Key: "backend_server", Message: "too many drains; cancel those that have ended"})
+		return m.invalidResult(Problem{Section: "command", Key: "backend_server", Message: "too many drains; cancel those that have ended"})
 	}
 	drain := Drain{BackendServer: c.BackendServer, Author: c.Author, ProposedAt: c.ProposedAt, Comment: c.Comment}
 	m.drains = slices.Insert(slices.Clone(m.drains), i, drain)
 	m.revision++
-	return m.result(OutcomeAccepted)
+	return m.newResult(OutcomeAccepted)
 }
 
 func (m *StateMachine) cancelDrain(c *Command) Result {
 	i, ok := m.findDrain(c.BackendServer)
 	if !ok {
-		return m.result(OutcomeNotFound)
+		return m.newResult(OutcomeNotFound)
 	}
 	m.drains = slices.Delete(slices.Clone(m.drains), i, i+1)
 	m.revision++
-	return m.result(OutcomeAccepted)
+	return m.newResult(OutcomeAccepted)
 }
 
-func (m *StateMachine) result(outcome Outcome) Result {
+func (m *StateMachine) newResult(outcome Outcome) Result {
 	return Result{Outcome: outcome, Version: m.version, Revision: m.revision}
 }
 
-func (m *StateMachine) invalid(problems ...Problem) Result {
-	result := m.result(OutcomeInvalid)
+func (m *StateMachine) invalidResult(problems ...Problem) Result {
+	result := m.newResult(OutcomeInvalid)
 	result.Problems = problems[:min(len(problems), maxProblems)]
 	return result
 }
--- a/core/fleet/patch.go
+++ b/core/fleet/patch.go
@@ -7,17 +7,17 @@
 
 // Patch is the difference between two documents.
 type Patch struct {
-	// Defaults replaces the defaults where it is set.
+	// Defaults replaces the default settings if it is set.
 	Defaults *Settings `cbor:"1,keyasint,omitempty" json:"defaults,omitempty"`
-	// PutServices and PutExceptions add or replace by name.
+	// PutServices and PutExceptions add items or replace those with the same name.
 	PutServices   []Service   `cbor:"2,keyasint,omitempty" json:"put_services,omitempty"`
 	PutExceptions []Exception `cbor:"3,keyasint,omitempty" json:"put_exceptions,omitempty"`
-	// DeleteServices and DeleteExceptions remove by name.
+	// DeleteServices and DeleteExceptions are the names of the items to delete.
 	DeleteServices   []string `cbor:"4,keyasint,omitempty" json:"delete_services,omitempty"`
 	DeleteExceptions []string `cbor:"5,keyasint,omitempty" json:"delete_exceptions,omitempty"`
 }
 
-// Size returns the number of items that the patch touches.
+// Size returns the number of items that the patch changes.
 func (p *Patch) Size() int {
 	n := len(p.PutServices) + len(p.PutExceptions) + len(p.DeleteServices) + len(p.DeleteExceptions)
 	if p.Defaults != nil {
@@ -26,7 +26,7 @@
 	return n
 }
 
-// Diff returns the patch that turns from into to. Both are normalized.
+// Diff returns the patch that changes from into to. Both must be normalized.
 func Diff(from, to *Document) Patch {
 	var p Patch
 	if from.Defaults != to.Defaults {
@@ -38,9 +38,9 @@
 	return p
 }
 
-// Apply returns the document that the patch makes of d, which stays unchanged
-// and shares what the patch does not touch. Both are normalized.
-// Deleting what does not exist is no error.
+// Apply returns a copy of d with the patch applied. The copy shares unchanged items with
+// d. Both the patch and d must be normalized. Deleting an item that does not exist is
+// not an error.
 func (p *Patch) Apply(d *Document) *Document {
 	next := &Document{Defaults: d.Defaults, Listeners: d.Listeners}
 	if p.Defaults != nil {
@@ -51,25 +51,25 @@
 	return next
 }
 
-// normalize is Document.Normalize for the items of the patch.
+// normalize normalizes the items of the patch; see Document.Normalize.
 func (p *Patch) normalize() {
 	d := Document{Services: p.PutServices, Exceptions: p.PutExceptions}
 	d.Normalize()
 	p.PutServices, p.PutExceptions = d.Services, d.Exceptions
 }
 
-// touches reports whether both patches change one item.
-func (p *Patch) touches(o *Patch) bool {
-	if p.Defaults != nil && o.Defaults != nil {
+// overlaps reports whether both patches change the same item.
+func (p *Patch) overlaps(other *Patch) bool {
+	if p.Defaults != nil && other.Defaults != nil {
 		return true
 	}
-	services := names(p.PutServices, p.DeleteServices, serviceName)
-	exceptions := names(p.PutExceptions, p.DeleteExceptions, exceptionName)
-	return anyIn(services, names(o.PutServices, o.DeleteServices, serviceName)) ||
-		anyIn(exceptions, names(o.PutExceptions, o.DeleteExceptions, exceptionName))
+	services := itemNames(p.PutServices, p.DeleteServices, serviceName)
+	exceptions := itemNames(p.PutExceptions, p.DeleteExceptions, exceptionName)
+	return intersects(services, itemNames(other.PutServices, other.DeleteServices, serviceName)) ||
+		intersects(exceptions, itemNames(other.PutExceptions, other.DeleteExceptions, exceptionName))
 }
 
-func names[T any](put []T, deleted []string, name func(*T) string) map[string]bool {
+func itemNames[T any](put []T, deleted []string, name func(*T) string) map[string]bool {
 	set := make(map[string]bool, len(put)+len(deleted))
 	for i := range put {
 		set[name(&put[i])] = true
@@ -80,7 +80,7 @@
 	return set
 }
 
-func anyIn(a, b map[string]bool) bool {
+func intersects(a, b map[string]bool) bool {
 	for n := range a {
 		if b[n] {
 			return true
@@ -93,7 +93,7 @@
 
 func exceptionName(e *Exception) string { return e.Name }
 
-// equalServices compares what operators write, so not the ID.
+// equalServices compares all fields except the ID, which operators do not set.
 func equalServices(a, b *Service) bool {
 	return a.Name == b.Name && a.Mode == b.Mode && a.Share == b.Share &&
 		slices.Equal(a.Addresses, b.Addresses) &&
@@ -103,7 +103,7 @@
 
 func equalExceptions(a, b *Exception) bool { return *a == *b }
 
-// diffItems merges two slices sorted by name.
+// diffItems returns the changes from one slice to another. Both are sorted by name.
 func diffItems[T any](from, to []T, name func(*T) string, equal func(a, b *T) bool) (put []T, deleted []string) {
 	i, j := 0, 0
 	for i < len(from) || j < len(to) {
@@ -132,8 +132,8 @@
 	return put, deleted
 }
 
-// patchItems returns a copy of items without the deleted ones and with the put
-// ones in place of those of the same name. All but deleted are sorted by name.
+// patchItems returns a copy of items without the deleted ones, in which the items in put
+// are added or replace those with the same name. items and put are sorted by name.
 func patchItems[T any](items, put []T, deleted []string, name func(*T) string) []T {
 	if len(put) == 0 && len(deleted) == 0 {
 		return items
@@ -155,5 +155,5 @@
 			next = append(next, items[i])
 		}
 	}
-	return nonEmpty(append(next, put...))
+	return nilIfEmpty(append(next, put...))
 }
--- a/core/fleet/resolver.go
+++ b/core/fleet/resolver.go
@@ -2,43 +2,43 @@
 
 import "time"
 
-// Resolver finds the settings in force for many targets. It is made for one
-// document at one time, and equals Document.Effective there.
+// Resolver returns the effective settings of many targets efficiently. It is created for
+// one document and one time, and gives the same results as Document.EffectiveSettings.
 type Resolver struct {
-	defaults   Settings
-	exceptions map[resolverKey][]*Exception
-	expired    int
+	defaults     Settings
+	exceptions   map[scopeTarget][]*Exception
+	expiredCount int
 }
 
-type resolverKey struct {
+type scopeTarget struct {
 	scope  Scope
 	target string
 }
 
-// NewResolver returns a resolver for d at now.
+// NewResolver returns a resolver for document d at time now.
 func NewResolver(d *Document, now time.Time) *Resolver {
-	r := &Resolver{defaults: d.Defaults, exceptions: make(map[resolverKey][]*Exception)}
+	r := &Resolver{defaults: d.Defaults, exceptions: make(map[scopeTarget][]*Exception)}
 	for i := range d.Exceptions {
 		e := &d.Exceptions[i]
 		if e.Expired(now) {
-			r.expired++
+			r.expiredCount++
 			continue
 		}
-		key := resolverKey{e.Scope, e.Target}
+		key := scopeTarget{e.Scope, e.Target}
 		r.exceptions[key] = append(r.exceptions[key], e)
 	}
 	return r
 }
 
-// ExpiredCount returns the number of exceptions that had ended.
-func (r *Resolver) ExpiredCount() int { return r.expired }
+// ExpiredCount returns the number of expired exceptions.
+func (r *Resolver) ExpiredCount() int { return r.expiredCount }
 
-// EffectiveSettings returns the settings for a target.
+// EffectiveSettings returns the settings of a target.
 func (r *Resolver) EffectiveSettings(target Target) Settings {
 	settings := r.defaults
-	for _, scope := range anyScope {
-		for _, e := range r.exceptions[resolverKey{scope, target.name(scope)}] {
-			// A machine's document was validated, so the value parses.
+	for _, scope := range allScopes {
+		for _, e := range r.exceptions[scopeTarget{scope, target.nameFor(scope)}] {
+			// The StateMachine validated the document, so Set cannot fail.
 			_ = settings.Set(e.Key, e.Value)
 		}
 	}
--- a/core/fleet/seats.go
+++ b/core/fleet/seats.go
@@ -7,52 +7,53 @@
 	"slices"
 )
 
-// RegistrationChange adds and removes seats.
+// RegistrationChange adds and removes registered agents by address.
 type RegistrationChange struct {
 	Added   []netip.AddrPort `cbor:"1,keyasint,omitempty" json:"taken,omitempty"`
 	Removed []netip.AddrPort `cbor:"2,keyasint,omitempty" json:"left,omitempty"`
 }
 
-// maxSeats bounds the seats of a fleet.
-const maxSeats = 1 << 18
+// maxRegisteredAgents limits the registered agents of a fleet.
+const maxRegisteredAgents = 1 << 18
 
-// RegisteredAgents returns the addresses of all agents whose backend servers may hold flows,
-// in order. A new leader has heard of every backend server once all seats have
-// announced themselves.
+// RegisteredAgents returns the sorted addresses of all agents whose backend servers may
+// have flows. A new leader knows all backend servers once it has received announcements
+// from all registered agents.
 func (m *StateMachine) RegisteredAgents() []netip.AddrPort {
-	return slices.SortedFunc(maps.Keys(m.seats), func(a, b netip.AddrPort) int { return a.Compare(b) })
+	return slices.SortedFunc(maps.Keys(m.registeredAgents), func(a, b netip.AddrPort) int { return a.Compare(b) })
 }
 
-// changeSeats neither makes a version nor a revision: operators see no change.
-func (m *StateMachine) changeSeats(c *RegistrationChange) Result {
+// changeRegistrations creates neither a version nor a revision, since the change is not
+// visible to operators.
+func (m *StateMachine) changeRegistrations(c *RegistrationChange) Result {
 	for _, addr := range c.Removed {
-		delete(m.seats, addr)
+		delete(m.registeredAgents, addr)
 	}
 	for _, addr := range c.Added {
-		if len(m.seats) < maxSeats {
-			m.seats[addr] = struct{}{}
+		if len(m.registeredAgents) < maxRegisteredAgents {
+			m.registeredAgents[addr] = struct{}{}
 		}
 	}
-	return m.result(OutcomeAccepted)
+	return m.newResult(OutcomeAccepted)
 }
 
-func newSeats(list []netip.AddrPort) map[netip.AddrPort]struct{} {
-	seats := make(map[netip.AddrPort]struct{}, len(list))
+func newRegisteredAgents(list []netip.AddrPort) map[netip.AddrPort]struct{} {
+	agents := make(map[netip.AddrPort]struct{}, len(list))
 	for _, addr := range list {
-		seats[addr] = struct{}{}
+		agents[addr] = struct{}{}
 	}
-	return seats
+	return agents
 }
 
-// problems returns what is wrong with the change.
-func (c *RegistrationChange) problems() []Problem {
+// validate returns the problems of the change.
+func (c *RegistrationChange) validate() []Problem {
 	for _, addr := range slices.Concat(c.Added, c.Removed) {
 		if !addr.IsValid() {
-			return []Problem{{Section: "command", Key: "seats", Message: "a seat is no address"}}
+			return []Problem{{Section: "command", Key: "seats", Message: "the address of a registered agent is invalid"}}
 		}
 	}
 	if cmp.Or(len(c.Added), len(c.Removed)) == 0 {
-		return []Problem{{Section: "command", Key: "seats", Message: "no seat changes"}}
+		return []Problem{{Section: "command", Key: "seats", Message: "no registered agent is added or removed"}}
 	}
 	return nil
 }
--- a/core/fleet/settings.go
+++ b/core/fleet/settings.go
@@ -12,36 +12,37 @@
 
 var namespace = errorx.NewNamespace("fleet")
 
-// ErrInvalidValue is the type for values that do not fit their key.
+// ErrInvalidValue is the error type for unknown keys and invalid values.
 var ErrInvalidValue = namespace.NewType("value").ApplyModifiers(errorx.TypeModifierOmitStackTrace)
 
-// SettingKey names one setting.
+// SettingKey is the name of a setting.
 type SettingKey string
 
-// Settings are the fleet-wide defaults, or what is in force for one target.
+// Settings are the fleet-wide defaults or the effective settings of one target.
 type Settings struct {
-	// Deadline ends a request whose caller names no deadline.
+	// Deadline is the deadline of requests whose callers set none.
 	Deadline time.Duration `cbor:"1,keyasint" json:"deadline"`
-	// QueueTime is the longest that a request waits for a slot.
+	// QueueTime is the longest time that a request waits for a slot.
 	QueueTime time.Duration `cbor:"2,keyasint" json:"queue_time"`
-	// IdleTimeout ends a flow without packets.
+	// IdleTimeout is the time without packets after which a flow ends.
 	IdleTimeout time.Duration `cbor:"3,keyasint" json:"idle_timeout"`
-	// WarmupDuration is how long the weight of a new backend server ramps up.
+	// WarmupDuration is the time in which the weight of a new backend server ramps up.
 	WarmupDuration time.Duration `cbor:"4,keyasint" json:"warming"`
-	// DrainLimit ends the flows that a draining backend server still holds.
+	// DrainLimit is the time after which the remaining flows of a draining backend
+	// server are ended.
 	DrainLimit time.Duration `cbor:"5,keyasint" json:"drain_limit"`
-	// LeaseDuration is how long an announcement holds without renewal.
+	// LeaseDuration is the time for which an announcement is valid without renewal.
 	LeaseDuration time.Duration `cbor:"6,keyasint" json:"lease"`
-	// Weight is the share of new flows, relative to view.FullWeight.
+	// Weight is the weight for new flows, relative to view.FullWeight.
 	Weight uint32 `cbor:"7,keyasint" json:"weight"`
-	// RetryBudgetPercent is the most load that retries may add, in percent.
+	// RetryBudgetPercent is the maximum additional load due to retries, in percent.
 	RetryBudgetPercent uint32 `cbor:"8,keyasint" json:"retry_budget"`
-	// MaxEjectedPercent is the largest part of a service's backend servers that
-	// health may take out at once, in percent.
+	// MaxEjectedPercent is the maximum percentage of a service's backend servers that
+	// may be ejected as unhealthy at the same time.
 	MaxEjectedPercent uint32 `cbor:"9,keyasint" json:"max_ejected"`
 }
 
-// DefaultSettings returns the settings of a fleet whose operators set none.
+// DefaultSettings returns the settings of a new fleet.
 func DefaultSettings() Settings {
 	return Settings{
 		Deadline:           10 * time.Second,
@@ -56,7 +57,7 @@
 	}
 }
 
-// unit is how a value is written.
+// unit determines the text format of a value.
 type unit uint8
 
 const (
@@ -65,111 +66,111 @@
 	unitPercent
 )
 
-// tunable describes one key of Settings. low and high are in the unit of the
-// field: nanoseconds, a count or percent.
-type tunable struct {
-	key       SettingKey
-	unit      unit
-	low, high int64
-	// scopes are what exceptions may set the key for; none where the key is
-	// for the whole fleet.
+// settingSpec describes one key of Settings. minValue and maxValue are in the unit of
+// the field: nanoseconds, a count or percent.
+type settingSpec struct {
+	key                SettingKey
+	unit               unit
+	minValue, maxValue int64
+	// scopes are the scopes of exceptions that may override the key. It is nil if the
+	// key can be set only for the whole fleet.
 	scopes   []Scope
 	duration func(*Settings) *time.Duration
 	number   func(*Settings) *uint32
 }
 
 var (
-	// anyScope is in the order in which exceptions are applied.
-	anyScope     = []Scope{ScopeZone, ScopeService, ScopeBackendServer}
-	serviceScope = []Scope{ScopeService}
+	// allScopes lists the scopes in the order in which exceptions are applied.
+	allScopes        = []Scope{ScopeZone, ScopeService, ScopeBackendServer}
+	serviceScopeOnly = []Scope{ScopeService}
 )
 
 const day = 24 * time.Hour
 
-var tunables = []tunable{
+var settingSpecs = []settingSpec{
 	{
-		key: "deadline", low: int64(10 * time.Millisecond), high: int64(time.Hour), scopes: serviceScope,
+		key: "deadline", minValue: int64(10 * time.Millisecond), maxValue: int64(time.Hour), scopes: serviceScopeOnly,
 		duration: func(s *Settings) *time.Duration { return &s.Deadline },
 	},
 	{
-		key: "queue_time", low: 0, high: int64(time.Minute), scopes: serviceScope,
+		key: "queue_time", minValue: 0, maxValue: int64(time.Minute), scopes: serviceScopeOnly,
 		duration: func(s *Settings) *time.Duration { return &s.QueueTime },
 	},
 	{
-		key: "idle_timeout", low: int64(time.Second), high: int64(7 * day), scopes: serviceScope,
+		key: "idle_timeout", minValue: int64(time.Second), maxValue: int64(7 * day), scopes: serviceScopeOnly,
 		duration: func(s *Settings) *time.Duration { return &s.IdleTimeout },
 	},
 	{
-		key: "warming", low: int64(time.Second), high: int64(day),
+		key: "warming", minValue: int64(time.Second), maxValue: int64(day),
 		duration: func(s *Settings) *time.Duration { return &s.WarmupDuration },
 	},
 	{
-		key: "drain_limit", low: int64(time.Second), high: int64(30 * day), scopes: serviceScope,
+		key: "drain_limit", minValue: int64(time.Second), maxValue: int64(30 * day), scopes: serviceScopeOnly,
 		duration: func(s *Settings) *time.Duration { return &s.DrainLimit },
 	},
 	{
-		key: "lease", low: int64(2 * time.Second), high: int64(5 * time.Minute),
+		key: "lease", minValue: int64(2 * time.Second), maxValue: int64(5 * time.Minute),
 		duration: func(s *Settings) *time.Duration { return &s.LeaseDuration },
 	},
 	{
-		key: "weight", unit: unitCount, low: 0, high: 10_000, scopes: anyScope,
+		key: "weight", unit: unitCount, minValue: 0, maxValue: 10_000, scopes: allScopes,
 		number: func(s *Settings) *uint32 { return &s.Weight },
 	},
 	{
-		key: "retry_budget", unit: unitPercent, low: 0, high: 100, scopes: serviceScope,
+		key: "retry_budget", unit: unitPercent, minValue: 0, maxValue: 100, scopes: serviceScopeOnly,
 		number: func(s *Settings) *uint32 { return &s.RetryBudgetPercent },
 	},
 	{
-		key: "max_ejected", unit: unitPercent, low: 1, high: 100,
+		key: "max_ejected", unit: unitPercent, minValue: 1, maxValue: 100,
 		number: func(s *Settings) *uint32 { return &s.MaxEjectedPercent },
 	},
 }
 
-// SettingKeys lists every key in a fixed order.
+// SettingKeys returns all keys in a fixed order.
 func SettingKeys() []SettingKey {
-	keys := make([]SettingKey, len(tunables))
-	for i := range tunables {
-		keys[i] = tunables[i].key
+	keys := make([]SettingKey, len(settingSpecs))
+	for i := range settingSpecs {
+		keys[i] = settingSpecs[i].key
 	}
 	return keys
 }
 
-func findTunable(key SettingKey) *tunable {
-	i := slices.IndexFunc(tunables, func(t tunable) bool { return t.key == key })
+func findSetting(key SettingKey) *settingSpec {
+	i := slices.IndexFunc(settingSpecs, func(spec settingSpec) bool { return spec.key == key })
 	if i < 0 {
 		return nil
 	}
-	return &tunables[i]
+	return &settingSpecs[i]
 }
 
 // Set parses value and sets key to it. Durations are written as 250ms, 30s or
-// 24h, percentages as 10%. On an error s stays as it was.
+// 24h, percentages as 10%. If it returns an error, s is unchanged.
 func (s *Settings) Set(key SettingKey, value string) error {
-	t := findTunable(key)
-	if t == nil {
+	spec := findSetting(key)
+	if spec == nil {
 		return ErrInvalidValue.New("unknown key %q", key)
 	}
-	n, err := t.parse(value)
+	n, err := spec.parse(value)
 	if err != nil {
 		return err
 	}
-	t.store(s, n)
+	spec.store(s, n)
 	return nil
 }
 
-// Get returns the value of key as Set takes it, or "" for an unknown key.
+// Get returns the value of key in the format of Set, or "" if the key is unknown.
 func (s *Settings) Get(key SettingKey) string {
-	t := findTunable(key)
-	if t == nil {
+	spec := findSetting(key)
+	if spec == nil {
 		return ""
 	}
-	return t.format(t.load(s))
+	return spec.format(spec.load(s))
 }
 
-func (t *tunable) parse(value string) (int64, error) {
+func (spec *settingSpec) parse(value string) (int64, error) {
 	var n int64
 	var err error
-	switch t.unit {
+	switch spec.unit {
 	case unitDuration:
 		var d time.Duration
 		d, err = time.ParseDuration(value)
@@ -189,18 +190,18 @@
 			return 0, ErrInvalidValue.New("%q is not a whole percentage such as 10%%", value)
 		}
 	}
-	return n, t.check(n)
+	return n, spec.check(n)
 }
 
-func (t *tunable) check(n int64) error {
-	if n < t.low || n > t.high {
-		return ErrInvalidValue.New("%s is outside %s to %s", t.format(n), t.format(t.low), t.format(t.high))
+func (spec *settingSpec) check(n int64) error {
+	if n < spec.minValue || n > spec.maxValue {
+		return ErrInvalidValue.New("%s is outside %s to %s", spec.format(n), spec.format(spec.minValue), spec.format(spec.maxValue))
 	}
 	return nil
 }
 
-func (t *tunable) format(n int64) string {
-	switch t.unit {
+func (spec *settingSpec) format(n int64) string {
+	switch spec.unit {
 	case unitDuration:
 		return time.Duration(n).String()
 	case unitPercent:
@@ -210,31 +211,31 @@
 	}
 }
 
-func (t *tunable) store(s *Settings, n int64) {
-	if t.duration != nil {
-		*t.duration(s) = time.Duration(n)
+func (spec *settingSpec) store(s *Settings, n int64) {
+	if spec.duration != nil {
+		*spec.duration(s) = time.Duration(n)
 		return
 	}
-	*t.number(s) = uint32(n)
+	*spec.number(s) = uint32(n)
 }
 
-func (t *tunable) load(s *Settings) int64 {
-	if t.duration != nil {
-		return int64(*t.duration(s))
+func (spec *settingSpec) load(s *Settings) int64 {
+	if spec.duration != nil {
+		return int64(*spec.duration(s))
 	}
-	return int64(*t.number(s))
+	return int64(*spec.number(s))
 }
 
-// Share is a part of a whole, in millionths.
+// Share is a fraction in millionths.
 type Share uint32
 
-// FullShare is all of it.
+// FullShare is the share of 100%.
 const FullShare Share = 1_000_000
 
-// shareDigits is the number of decimals of a percentage that a Share keeps.
+// shareDigits is the number of decimal places of a Share in percent.
 const shareDigits = 4
 
-// ParseShare parses a percentage with up to four decimals, such as 12.5%.
+// ParseShare parses a percentage with up to four decimal places, such as 12.5%.
 func ParseShare(text string) (Share, error) {
 	digits, ok := strings.CutSuffix(text, "%")
 	whole, fraction, _ := strings.Cut(digits, ".")
@@ -252,7 +253,7 @@
 	return Share(n), nil
 }
 
-// String formats the share as ParseShare takes it.
+// String formats the share in the format of ParseShare.
 func (s Share) String() string {
 	const perPercent = uint32(FullShare) / 100
 	text := fmt.Sprintf("%d.%0*d", uint32(s)/perPercent, shareDigits, uint32(s)%perPercent)
--- a/core/fleet/snapshot.go
+++ b/core/fleet/snapshot.go
@@ -9,19 +9,19 @@
 	"fulmarmount.org/core/view"
 )
 
-// ErrInvalidSnapshot is the type for snapshots that cannot be restored.
+// ErrInvalidSnapshot is the error type for snapshots that cannot be restored.
 var ErrInvalidSnapshot = namespace.NewType("snapshot").ApplyModifiers(errorx.TypeModifierOmitStackTrace)
 
-// snapshotFormat is the version of Snapshot.
+// snapshotFormat is the format version of Snapshot.
 const snapshotFormat = 1
 
-// Snapshot is the whole state, for an encoding of the embedder's choice.
+// Snapshot is the complete state of a StateMachine. The caller chooses its encoding.
 type Snapshot struct {
 	Format           uint32           `cbor:"1,keyasint"`
 	Index            uint64           `cbor:"2,keyasint"`
 	Version          uint64           `cbor:"3,keyasint"`
 	Revision         uint64           `cbor:"4,keyasint"`
-	NextID           view.ServiceID   `cbor:"5,keyasint"`
+	NextServiceID    view.ServiceID   `cbor:"5,keyasint"`
 	Document         Document         `cbor:"6,keyasint"`
 	Drains           []Drain          `cbor:"7,keyasint"`
 	History          []HistoryEntry   `cbor:"8,keyasint"`
@@ -30,25 +30,25 @@
 	RegisteredAgents []netip.AddrPort `cbor:"11,keyasint,omitempty"`
 }
 
-// Snapshot returns the state. Treat it as read-only.
+// Snapshot returns a snapshot of the state. Treat it as read-only.
 func (m *StateMachine) Snapshot() Snapshot {
 	return Snapshot{
 		Format:           snapshotFormat,
-		Index:            m.index,
+		Index:            m.lastIndex,
 		Version:          m.version,
 		Revision:         m.revision,
-		NextID:           m.nextID,
+		NextServiceID:    m.nextServiceID,
 		Document:         *m.document,
 		Drains:           m.drains,
 		History:          m.History(),
-		CachedResults:    m.answers.snapshot(),
-		ActiveImport:     m.imported,
+		CachedResults:    m.resultCache.snapshot(),
+		ActiveImport:     m.activeImport,
 		RegisteredAgents: m.RegisteredAgents(),
 	}
 }
 
-// Restore returns the machine that s was taken of. It keeps s, so a machine
-// that s was taken of in the same process must not be read any more.
+// Restore returns a state machine with the state of s. It retains s, so a state machine
+// in the same process from which s was created must not be used afterwards.
 func Restore(s Snapshot) (*StateMachine, error) {
 	if s.Format != snapshotFormat {
 		return nil, ErrInvalidSnapshot.New("snapshot has format %d, not %d", s.Format, snapshotFormat)
@@ -64,16 +64,16 @@
 		return nil, err
 	}
 	m := &StateMachine{
-		document: &s.Document,
-		version:  s.Version,
-		revision: s.Revision,
-		nextID:   s.NextID,
-		drains:   normalDrains(s.Drains),
-		history:  newHistory(s.History),
-		answers:  newAnswers(s.CachedResults),
-		index:    s.Index,
-		imported: s.ActiveImport,
-		seats:    newSeats(s.RegisteredAgents),
+		document:         &s.Document,
+		version:          s.Version,
+		revision:         s.Revision,
+		nextServiceID:    s.NextServiceID,
+		drains:           normalizeDrains(s.Drains),
+		history:          newHistory(s.History),
+		resultCache:      newResultCache(s.CachedResults),
+		lastIndex:        s.Index,
+		activeImport:     s.ActiveImport,
+		registeredAgents: newRegisteredAgents(s.RegisteredAgents),
 	}
 	return m, nil
 }
@@ -82,9 +82,9 @@
 	seen := make(map[view.ServiceID]bool, len(s.Document.Services))
 	for i := range s.Document.Services {
 		service := &s.Document.Services[i]
-		if service.ID == 0 || service.ID >= s.NextID || seen[service.ID] {
-			return ErrInvalidSnapshot.New("service %q has ID %d, which is taken or at least the next ID %d",
-				service.Name, service.ID, s.NextID)
+		if service.ID == 0 || service.ID >= s.NextServiceID || seen[service.ID] {
+			return ErrInvalidSnapshot.New("service %q has ID %d, which is zero, a duplicate or not below the next ID %d",
+				service.Name, service.ID, s.NextServiceID)
 		}
 		seen[service.ID] = true
 	}
@@ -95,18 +95,18 @@
 	for i := range s.History {
 		want := s.Version - uint64(len(s.History)-1-i)
 		if s.History[i].Version != want {
-			return ErrInvalidSnapshot.New("history entry %d is of version %d, not %d", i, s.History[i].Version, want)
+			return ErrInvalidSnapshot.New("history entry %d has version %d, not %d", i, s.History[i].Version, want)
 		}
-		s.History[i].ProposedAt = wholeSeconds(s.History[i].ProposedAt)
+		s.History[i].ProposedAt = truncateToSeconds(s.History[i].ProposedAt)
 		s.History[i].Undo.normalize()
 	}
 	return nil
 }
 
-func normalDrains(list []Drain) []Drain {
+func normalizeDrains(list []Drain) []Drain {
 	drains := slices.Clone(list)
 	for i := range drains {
-		drains[i].ProposedAt = wholeSeconds(drains[i].ProposedAt)
+		drains[i].ProposedAt = truncateToSeconds(drains[i].ProposedAt)
 	}
 	return drains
 }
--- a/core/quorum/election.go
+++ b/core/quorum/election.go
@@ -157,7 +157,7 @@
 	r.reads = readQueue{}
 	r.progress = nil
 	r.syncProgress()
-	r.appendEntry(Entry{Kind: EntryNoop})
+	r.appendToLog(Entry{Kind: EntryNoop})
 	r.sendHeartbeats()
 }
 
--- a/core/quorum/replication.go
+++ b/core/quorum/replication.go
@@ -35,12 +35,12 @@
 	if r.transferTarget != 0 {
 		return ErrLeadershipTransfer.New("leadership is being transferred to replica %s", r.transferTarget)
 	}
-	r.appendEntry(e)
+	r.appendToLog(e)
 	return nil
 }
 
-// appendEntry appends e to the leader's log. The next Ready sends it to followers.
-func (r *Replica) appendEntry(e Entry) {
+// appendToLog appends e to the leader's log. The next Ready sends it to followers.
+func (r *Replica) appendToLog(e Entry) {
 	e.Term = r.term
 	e.Index = r.log.lastIndex() + 1
 	r.log.appendEntry(e)
