--- a/core/quorum/doc.go
+++ b/core/quorum/doc.go
@@ -11,7 +11,7 @@
 // Reads need no leader lease, so no bound on clock drift is assumed: drifting
 // clocks reduce availability only.
 //
-// The caller's loop saves the state in a Ready, sends Ready.Messages, applies
-// Ready.CommittedEntries and then calls Advance. It must call no other method
-// between Ready and Advance.
+// The caller's loop saves the state in a Ready before it sends Ready.Messages,
+// applies Ready.CommittedEntries and then calls Advance. It must call no other
+// method between Ready and Advance.
 package quorum
