--- a/core/fleet/command.go
+++ b/core/fleet/command.go
@@ -5,51 +5,51 @@
 	"time"
 )
 
-// Kind is what a command does.
-type Kind uint8
+// CommandKind is the operation of a command.
+type CommandKind uint8
 
 // The kinds of commands.
 const (
-	// KindApply replaces the whole document. Its content is either the document
-	// or the patch that makes it of the expected version.
-	KindApply Kind = iota + 1
-	// KindPatch changes single items.
+	// KindApply replaces the whole document. It carries either the new document or
+	// a patch to the expected version.
+	KindApply CommandKind = iota + 1
+	// KindPatch changes individual items of the document.
 	KindPatch
-	// KindRollback makes a new version that equals an earlier one.
+	// KindRollback creates a new version equal to an earlier one.
 	KindRollback
 	// KindDrain drains a backend server.
 	KindDrain
-	// KindCancelDrain ends a drain.
+	// KindCancelDrain cancels a drain.
 	KindCancelDrain
-	// KindImport replaces the document by one that another system numbers.
+	// KindImport replaces the document by a numbered document of another system.
 	KindImport
-	// KindSeats notes which agents there are. The leader proposes it.
-	KindSeats
+	// KindRegistrations adds and removes registered agents. The leader proposes it.
+	KindRegistrations
 )
 
-var kindNames = map[Kind]string{
+var kindNames = map[CommandKind]string{
 	KindApply: "apply", KindPatch: "patch", KindRollback: "rollback", KindDrain: "drain", KindCancelDrain: "cancel drain",
-	KindImport: "import", KindSeats: "seats",
+	KindImport: "import", KindRegistrations: "seats",
 }
 
 // String returns the kind's name.
-func (k Kind) String() string { return nameOf(kindNames, k, "kind") }
+func (k CommandKind) String() string { return nameOf(kindNames, k, "kind") }
 
 // MarshalText returns the kind's name.
-func (k Kind) MarshalText() ([]byte, error) { return []byte(k.String()), nil }
+func (k CommandKind) MarshalText() ([]byte, error) { return []byte(k.String()), nil }
 
 // UnmarshalText reads the kind's name.
-func (k *Kind) UnmarshalText(text []byte) error { return unmarshalName(kindNames, k, text) }
+func (k *CommandKind) UnmarshalText(text []byte) error { return unmarshalName(kindNames, k, text) }
 
-// nameOf returns the name of value, or its number behind what it is.
-func nameOf[T ~uint8](names map[T]string, value T, what string) string {
+// nameOf returns the name of value, or typeName with the number if it has no name.
+func nameOf[T ~uint8](names map[T]string, value T, typeName string) string {
 	if name, ok := names[value]; ok {
 		return name
 	}
-	return fmt.Sprintf("%s(%d)", what, uint8(value))
+	return fmt.Sprintf("%s(%d)", typeName, uint8(value))
 }
 
-// unmarshalName sets value to the one that names has text for.
+// unmarshalName sets value to the one whose name is text.
 func unmarshalName[T comparable](names map[T]string, value *T, text []byte) error {
 	for v, name := range names {
 		if name == string(text) {
@@ -57,58 +57,60 @@
 			return nil
 		}
 	}
-	return ErrValue.New("%q is not a known name", text)
+	return ErrInvalidValue.New("%q is not a known name", text)
 }
 
 // Command is one entry of the replicated log.
 type Command struct {
-	Kind Kind `cbor:"1,keyasint" json:"kind"`
-	// RequestID is unique to what the operator asked for. A resend with the
-	// same ID gets the first result. Without one nothing is remembered.
+	Kind CommandKind `cbor:"1,keyasint" json:"kind"`
+	// RequestID identifies the operator's request. A command that is resent with
+	// the same ID returns the first result. Results of commands without an ID are
+	// not stored.
 	RequestID string `cbor:"2,keyasint,omitempty" json:"request_id,omitempty"`
-	// Author and At are who asked and when, by the proposer's clock. They
-	// are shown in the history and decide nothing.
-	Author  string    `cbor:"3,keyasint,omitempty" json:"author,omitempty"`
-	At      time.Time `cbor:"4,keyasint" json:"at"`
-	Comment string    `cbor:"5,keyasint,omitempty" json:"comment,omitempty"`
-	// Expected is the version that the operator saw. Apply and Rollback need
-	// it to be the current one. Patch needs the items that it touches to be
-	// unchanged since.
-	Expected uint64 `cbor:"6,keyasint" json:"expected"`
-	// Document is the content of KindApply. The machine keeps it.
+	// Author is the user who issued the command and ProposedAt the time by the
+	// proposer's clock. They appear in the history and do not affect execution.
+	Author     string    `cbor:"3,keyasint,omitempty" json:"author,omitempty"`
+	ProposedAt time.Time `cbor:"4,keyasint" json:"at"`
+	Comment    string    `cbor:"5,keyasint,omitempty" json:"comment,omitempty"`
+	// ExpectedVersion is the version on which the operator based the command.
+	// KindApply and KindRollback require it to be the current version. KindPatch
+	// requires that the items it changes are unchanged since that version.
+	ExpectedVersion uint64 `cbor:"6,keyasint" json:"expected"`
+	// Document is the content of KindApply or KindImport. The StateMachine retains it.
 	Document *Document `cbor:"7,keyasint,omitempty" json:"document,omitempty"`
-	// Patch is the content of KindPatch, or of KindApply in place of Document.
-	// The machine keeps it.
+	// Patch is the content of KindPatch, or of KindApply in place of Document. The
+	// StateMachine retains it.
 	Patch *Patch `cbor:"8,keyasint,omitempty" json:"patch,omitempty"`
-	// Version is set for KindRollback: the version to return to.
-	Version uint64 `cbor:"9,keyasint,omitempty" json:"version,omitempty"`
+	// RollbackVersion is the version that KindRollback restores.
+	RollbackVersion uint64 `cbor:"9,keyasint,omitempty" json:"version,omitempty"`
 	// BackendServer is set for KindDrain and KindCancelDrain.
 	BackendServer string `cbor:"10,keyasint,omitempty" json:"backend_server,omitempty"`
-	// Import is set for KindImport, beside Document.
+	// Import is set for KindImport, together with Document.
 	Import *Import `cbor:"11,keyasint,omitempty" json:"import,omitempty"`
-	// Seats is the content of KindSeats.
-	Seats *SeatChange `cbor:"12,keyasint,omitempty" json:"seats,omitempty"`
+	// Registrations is the content of KindRegistrations.
+	Registrations *RegistrationChange `cbor:"12,keyasint,omitempty" json:"seats,omitempty"`
 }
 
-// Outcome is how a command ended.
+// Outcome is the outcome of a command.
 type Outcome uint8
 
 // The outcomes of commands.
 const (
-	// Accepted commands are in force from Result.Version and Result.Revision.
-	Accepted Outcome = iota + 1
-	// Conflict is for commands that expected another version.
-	Conflict
-	// Invalid is for commands with problems.
-	Invalid
-	// NotFound is for a version or a drain that does not exist.
-	NotFound
-	// Reused is for a request ID that an unlike command used before.
-	Reused
+	// OutcomeAccepted means that the command is effective from Result.Version and
+	// Result.Revision on.
+	OutcomeAccepted Outcome = iota + 1
+	// OutcomeConflict means that the expected version conflicts with later changes.
+	OutcomeConflict
+	// OutcomeInvalid means that validation found the problems in Result.Problems.
+	OutcomeInvalid
+	// OutcomeNotFound means that the version or the drain does not exist.
+	OutcomeNotFound
+	// OutcomeRequestIDReused means that a different command used the request ID before.
+	OutcomeRequestIDReused
 )
 
 var outcomeNames = map[Outcome]string{
-	Accepted: "accepted", Conflict: "conflict", Invalid: "invalid", NotFound: "not found", Reused: "request ID reused",
+	OutcomeAccepted: "accepted", OutcomeConflict: "conflict", OutcomeInvalid: "invalid", OutcomeNotFound: "not found", OutcomeRequestIDReused: "request ID reused",
 }
 
 // String returns the outcome's name.
@@ -120,25 +122,25 @@
 // UnmarshalText reads the outcome's name.
 func (o *Outcome) UnmarshalText(text []byte) error { return unmarshalName(outcomeNames, o, text) }
 
-// Result is the answer to a command.
+// Result is the result of a command.
 type Result struct {
 	Outcome Outcome `cbor:"1,keyasint" json:"outcome"`
-	// Version numbers the document: the one made by an accepted command, else
-	// the current one. It grows with every accepted apply, patch and rollback.
+	// Version is the version of the document after the command. It increases with
+	// every accepted apply, patch, rollback and newer import.
 	Version uint64 `cbor:"2,keyasint" json:"version"`
-	// Revision numbers the state with its drains. It grows with every
-	// accepted change.
+	// Revision is the revision of the state, which includes the drains. It increases
+	// with the version and with every added or cancelled drain.
 	Revision uint64 `cbor:"3,keyasint" json:"revision"`
-	// Problems are what is wrong with an invalid command.
+	// Problems lists the validation errors of an invalid command.
 	Problems []Problem `cbor:"4,keyasint,omitempty" json:"problems,omitempty"`
 }
 
-// Drain asks that a backend server takes no new work. It holds until it is
-// cancelled, also while the backend server is away.
+// Drain excludes a backend server from new work. It remains until it is cancelled,
+// even while the backend server is absent.
 type Drain struct {
 	BackendServer string    `cbor:"1,keyasint" json:"backend_server"`
 	Author        string    `cbor:"2,keyasint" json:"author,omitempty"`
-	At            time.Time `cbor:"3,keyasint" json:"at"`
+	ProposedAt    time.Time `cbor:"3,keyasint" json:"at"`
 	Comment       string    `cbor:"4,keyasint" json:"comment,omitempty"`
 }
 
@@ -148,11 +150,12 @@
 	maxDrains     = 20_000
 )
 
-// problems returns what is wrong with the command apart from its content.
-func (c *Command) problems() []Problem {
-	var found []Problem
+// validate returns the problems of the command, except those of its documents and
+// patches.
+func (c *Command) validate() []Problem {
+	var problems []Problem
 	add := func(key, format string, args ...any) {
-		found = append(found, Problem{Section: "command", Key: key, Message: fmt.Sprintf(format, args...)})
+		problems = append(problems, Problem{Section: "command", Key: key, Message: fmt.Sprintf(format, args...)})
 	}
 	for _, text := range []struct{ key, value string }{
 		{"request_id", c.RequestID}, {"author", c.Author}, {"comment", c.Comment},
@@ -171,11 +174,11 @@
 			add("patch", "a patch is required")
 		}
 	case KindRollback:
-	case KindSeats:
-		if c.Seats == nil {
-			add("seats", "a change of seats is required")
+	case KindRegistrations:
+		if c.Registrations == nil {
+			add("seats", "a change of the registered agents is required")
 		} else {
-			found = append(found, c.Seats.problems()...)
+			problems = append(problems, c.Registrations.validate()...)
 		}
 	case KindImport:
 		if c.Document == nil || c.Import == nil || c.Import.Number == 0 {
@@ -188,5 +191,5 @@
 	default:
 		add("kind", "%s is unknown", c.Kind)
 	}
-	return found
+	return problems
 }
--- a/core/fleet/digest.go
+++ b/core/fleet/digest.go
@@ -6,13 +6,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// digest identifies what a command asks for, apart from who asked and when, so
-// that a resend is told from another command with its request ID.
+// digest returns a hash of the command without its author and time. It distinguishes
+// a resent command from a different command with the same request ID.
 func (c *Command) digest() uint64 {
 	h := hasher{xxhash.New()}
 	h.number(uint64(c.Kind))
-	h.number(c.Expected)
-	h.number(c.Version)
+	h.number(c.ExpectedVersion)
+	h.number(c.RollbackVersion)
 	h.text(c.BackendServer)
 	h.text(c.Comment)
 	if c.Document != nil {
@@ -25,13 +25,13 @@
 	}
 	if c.Import != nil {
 		h.number(c.Import.Number)
-		h.text(string(c.Import.Source))
+		h.text(string(c.Import.RawDocument))
 	}
 	return h.Sum64()
 }
 
-// hasher writes values with their lengths, so that no two sequences of values
-// give the same bytes.
+// hasher hashes values with length prefixes, so that different sequences of values
+// never produce the same input bytes.
 type hasher struct{ *xxhash.Digest }
 
 func (h hasher) number(n uint64) {
@@ -63,8 +63,8 @@
 }
 
 func (h hasher) settings(s *Settings) {
-	for i := range tunables {
-		h.number(uint64(tunables[i].load(s)))
+	for i := range settingSpecs {
+		h.number(uint64(settingSpecs[i].load(s)))
 	}
 }
 
@@ -89,8 +89,8 @@
 		h.number(uint64(c.MostUrgent)<<8 | uint64(c.LeastUrgent))
 		h.number(uint64(c.Share))
 	}
-	h.number(uint64(len(s.Repeatable)))
-	for _, route := range s.Repeatable {
+	h.number(uint64(len(s.RepeatableRoutes)))
+	for _, route := range s.RepeatableRoutes {
 		h.text(route.Method)
 		h.text(route.Prefix)
 	}
@@ -101,6 +101,6 @@
 	for i := range list {
 		e := &list[i]
 		h.texts([]string{e.Name, string(e.Scope), e.Target, string(e.Key), e.Value, e.Reason})
-		h.number(uint64(e.Expires.Unix()))
+		h.number(uint64(e.ExpiresAt.Unix()))
 	}
 }
--- a/core/fleet/seats.go
+++ b/core/fleet/seats.go
@@ -7,52 +7,53 @@
 	"slices"
 )
 
-// SeatChange adds and removes seats.
-type SeatChange struct {
-	Taken []netip.AddrPort `cbor:"1,keyasint,omitempty" json:"taken,omitempty"`
-	Left  []netip.AddrPort `cbor:"2,keyasint,omitempty" json:"left,omitempty"`
+// RegistrationChange adds and removes registered agents by address.
+type RegistrationChange struct {
+	Added   []netip.AddrPort `cbor:"1,keyasint,omitempty" json:"taken,omitempty"`
+	Removed []netip.AddrPort `cbor:"2,keyasint,omitempty" json:"left,omitempty"`
 }
 
-// maxSeats bounds the seats of a fleet.
-const maxSeats = 1 << 18
+// maxRegisteredAgents limits the registered agents of a fleet.
+const maxRegisteredAgents = 1 << 18
 
-// Seats returns the addresses of all agents whose backend servers may hold flows,
-// in order. A new leader has heard of every backend server once all seats have
-// announced themselves.
-func (m *Machine) Seats() []netip.AddrPort {
-	return slices.SortedFunc(maps.Keys(m.seats), func(a, b netip.AddrPort) int { return a.Compare(b) })
+// RegisteredAgents returns the sorted addresses of all agents whose backend servers may
+// have flows. A new leader knows all backend servers once it has received announcements
+// from all registered agents.
+func (m *StateMachine) RegisteredAgents() []netip.AddrPort {
+	return slices.SortedFunc(maps.Keys(m.registeredAgents), func(a, b netip.AddrPort) int { return a.Compare(b) })
 }
 
-// changeSeats neither makes a version nor a revision: operators see no change.
-func (m *Machine) changeSeats(c *SeatChange) Result {
-	for _, addr := range c.Left {
-		delete(m.seats, addr)
+// changeRegistrations creates neither a version nor a revision, since the change is not
+// visible to operators.
+func (m *StateMachine) changeRegistrations(c *RegistrationChange) Result {
+	for _, addr := range c.Removed {
+		delete(m.registeredAgents, addr)
 	}
-	for _, addr := range c.Taken {
-		if len(m.seats) < maxSeats {
-			m.seats[addr] = struct{}{}
+	for _, addr := range c.Added {
+		if len(m.registeredAgents) < maxRegisteredAgents {
+			m.registeredAgents[addr] = struct{}{}
 		}
 	}
-	return m.result(Accepted)
+	return m.newResult(OutcomeAccepted)
 }
 
-func newSeats(list []netip.AddrPort) map[netip.AddrPort]struct{} {
-	seats := make(map[netip.AddrPort]struct{}, len(list))
+func newRegisteredAgents(list []netip.AddrPort) map[netip.AddrPort]struct{} {
+	agents := make(map[netip.AddrPort]struct{}, len(list))
 	for _, addr := range list {
-		seats[addr] = struct{}{}
+		agents[addr] = struct{}{}
 	}
-	return seats
+	return agents
 }
 
-// problems returns what is wrong with the change.
-func (c *SeatChange) problems() []Problem {
-	for _, addr := range slices.Concat(c.Taken, c.Left) {
+// validate returns the problems of the change.
+func (c *RegistrationChange) validate() []Problem {
+	for _, addr := range slices.Concat(c.Added, c.Removed) {
 		if !addr.IsValid() {
-			return []Problem{{Section: "command", Key: "seats", Message: "a seat is no address"}}
+			return []Problem{{Section: "command", Key: "seats", Message: "the address of a registered agent is invalid"}}
 		}
 	}
-	if cmp.Or(len(c.Taken), len(c.Left)) == 0 {
-		return []Problem{{Section: "command", Key: "seats", Message: "no seat changes"}}
+	if cmp.Or(len(c.Added), len(c.Removed)) == 0 {
+		return []Problem{{Section: "command", Key: "seats", Message: "no registered agent is added or removed"}}
 	}
 	return nil
 }
--- a/core/quorum/errors.go
+++ b/core/quorum/errors.go
@@ -6,28 +6,30 @@
 var Errors = errorx.NewNamespace("quorum")
 
 var (
-	// NotLeader refuses what only a leader does. Nothing was proposed.
-	NotLeader = Errors.NewType("not_leader")
-	// NotAddressed refuses a message meant for another replica identity,
-	// such as the one this disk's predecessor had.
-	NotAddressed = Errors.NewType("not_addressed")
-	// ClusterMismatch refuses a message of another cluster.
-	ClusterMismatch = Errors.NewType("cluster_mismatch")
-	// Transferring refuses proposals while leadership moves away.
-	Transferring = Errors.NewType("transferring")
-	// ChangePending refuses a membership change before the last committed.
-	ChangePending = Errors.NewType("change_pending")
-	// InvalidChange refuses a membership change that makes no sense.
-	InvalidChange = Errors.NewType("invalid_change")
-	// NotCaughtUp refuses to promote a learner or to transfer leadership to
-	// a replica whose log is behind.
-	NotCaughtUp = Errors.NewType("not_caught_up")
-	// UnsafeChange refuses a membership change after which the replicas heard
-	// from lately would be no quorum.
-	UnsafeChange = Errors.NewType("unsafe_change")
-	// RolledBack reports that the disk lost entries this replica acknowledged.
-	// The replica must stop and be replaced under a new identity.
-	RolledBack = Errors.NewType("rolled_back")
-	// BadState reports saved state that contradicts itself.
-	BadState = Errors.NewType("bad_state")
+	// ErrNotLeader rejects an operation that requires the leader. Nothing was
+	// proposed.
+	ErrNotLeader = Errors.NewType("not_leader")
+	// ErrWrongRecipient rejects a message addressed to another replica ID, such
+	// as the ID used with this replica's previous disk.
+	ErrWrongRecipient = Errors.NewType("not_addressed")
+	// ErrClusterMismatch rejects a message from another cluster.
+	ErrClusterMismatch = Errors.NewType("cluster_mismatch")
+	// ErrLeadershipTransfer rejects proposals during a leadership transfer.
+	ErrLeadershipTransfer = Errors.NewType("transferring")
+	// ErrChangePending rejects a membership change while the previous one is not
+	// committed, or before an entry of the term is committed.
+	ErrChangePending = Errors.NewType("change_pending")
+	// ErrInvalidChange rejects a change that does not apply to the membership.
+	ErrInvalidChange = Errors.NewType("invalid_change")
+	// ErrNotCaughtUp rejects the promotion of a learner, or a leadership transfer,
+	// if the replica's log lags behind or the replica is inactive.
+	ErrNotCaughtUp = Errors.NewType("not_caught_up")
+	// ErrUnsafeChange rejects a membership change after which the recently active
+	// replicas would not form a quorum.
+	ErrUnsafeChange = Errors.NewType("unsafe_change")
+	// ErrLogRolledBack reports that the disk lost entries that this replica has
+	// acknowledged. The replica must stop and be replaced under a new ID.
+	ErrLogRolledBack = Errors.NewType("rolled_back")
+	// ErrInvalidState reports inconsistent saved state.
+	ErrInvalidState = Errors.NewType("bad_state")
 )
--- a/core/quorum/example_test.go
+++ b/core/quorum/example_test.go
@@ -7,7 +7,7 @@
 	"fulmarmount.org/core/quorum"
 )
 
-// A cluster of one replica: the loop saves, sends, applies and advances.
+// A cluster with a single replica: the loop saves, sends, applies and advances.
 func Example() {
 	hard, snapshot := quorum.Bootstrap(1, quorum.Member{ID: 42, Name: "vm-1"})
 	replica, err := quorum.New(quorum.Config{
@@ -26,11 +26,11 @@
 	}
 	for {
 		ready := replica.Ready()
-		if ready.Empty() {
+		if ready.IsEmpty() {
 			break
 		}
 		// Save ready.HardState and ready.Entries, then send ready.Messages.
-		for _, entry := range ready.Committed {
+		for _, entry := range ready.CommittedEntries {
 			if entry.Kind == quorum.EntryCommand {
 				fmt.Printf("entry %d of term %d: %s\n", entry.Index, entry.Term, entry.Data)
 			}
--- a/internal/group/keep.go
+++ b/internal/group/keep.go
@@ -30,7 +30,7 @@
 // keepMembers maintains the membership while this replica leads.
 func (g *Group) keepMembers(ctx context.Context) {
 	began := g.options.Now()
-	var keeper *roster.Keeper
+	var keeper *roster.Reconciler
 	pace.Every(ctx, keepInterval, func() {
 		n := g.current()
 		if n == nil {
@@ -45,7 +45,7 @@
 			keeper = roster.New(g.options.Keep)
 		}
 		now := g.options.Now().Sub(began)
-		if change, ok := keeper.Next(now, stateOf(status)); ok {
+		if change, ok := keeper.NextChange(now, stateOf(status)); ok {
 			g.change(ctx, n, change)
 		}
 	})
@@ -54,11 +54,11 @@
 func stateOf(s replica.Status) roster.State {
 	active := make(map[quorum.ReplicaID]bool, len(s.Progress))
 	for _, p := range s.Progress {
-		active[p.ID] = p.Active
+		active[p.ID] = p.RecentlyActive
 	}
 	return roster.State{
 		Self: s.ID, Members: s.Membership.Members,
-		Active: func(id quorum.ReplicaID) bool { return active[id] },
+		IsActive: func(id quorum.ReplicaID) bool { return active[id] },
 	}
 }
 
@@ -67,7 +67,7 @@
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
 	var err error
-	if c.Op == quorum.Promote {
+	if c.Op == quorum.PromoteLearner {
 		err = n.Promote(ctx, c.Member.ID)
 	} else {
 		err = n.Remove(ctx, c.Member.ID)
@@ -79,7 +79,7 @@
 	switch {
 	case err == nil:
 		g.options.Log.Info("Changed the membership.", fields...)
-	case !errorx.IsOfType(err, quorum.NotCaughtUp):
+	case !errorx.IsOfType(err, quorum.ErrNotCaughtUp):
 		g.options.Log.Warn("Could not change the membership.", append(fields, zap.Error(err))...)
 	}
 }
