--- a/core/flow/agent.go
+++ b/core/flow/agent.go
@@ -13,26 +13,29 @@
 
 const (
 	shardCount = 64
-	tick       = 100 * time.Millisecond // unit of entry.seen
+	tick       = 100 * time.Millisecond // resolution of entry.lastUsed
 )
 
-// AgentOptions configure an Agent. Zero durations and counts take defaults.
+// AgentOptions configure an Agent. Zero durations and counts select the defaults.
 type AgentOptions struct {
-	// Self is this run of the agent.
+	// Self identifies this run of the agent.
 	Self Peer
-	// IdleTimeout ends an owned flow that has not been used for that long.
+	// IdleTimeout is the time without packets after which an owned flow expires.
 	IdleTimeout time.Duration
-	// PointerTTL drops a pointer that has been neither used nor refreshed for
-	// that long. It must exceed IdleTimeout of the fleet's views in flight.
+	// PointerTTL is the time without use or refresh after which a pointer
+	// expires. It must exceed the largest IdleTimeout that is active anywhere in
+	// the fleet.
 	PointerTTL time.Duration
-	// HistoryWindow is how long after a view's adoption the agents that earlier
-	// versions placed a flow on are asked about it.
+	// HistoryWindow is the time after a view's adoption during which the agents
+	// that earlier versions placed a flow on are queried about the flow.
 	HistoryWindow time.Duration
-	// UnresponsiveAfter is how long an agent may leave SilentAsks questions
-	// unanswered before it is passed over.
+	// UnresponsiveAfter and UnresponsiveQueries define when an agent counts as
+	// unresponsive: at least UnresponsiveQueries consecutive queries to it are
+	// unanswered, and the first of them is older than UnresponsiveAfter. Such an
+	// agent is skipped if it is not a member of the active view.
 	UnresponsiveAfter   time.Duration
 	UnresponsiveQueries int
-	// MaxHops bounds the relaying of one packet.
+	// MaxHops is the maximum number of times that one packet is relayed.
 	MaxHops uint8
 }
 
@@ -52,35 +55,35 @@
 	}
 }
 
-// Agent decides about the packets of one backend server's service. Its methods
-// may be called from several goroutines. Times are durations since any fixed
-// start.
+// Agent decides on the packets of the service that one backend server serves.
+// Its methods are safe for concurrent use. Times are durations since an arbitrary
+// fixed start.
 type Agent struct {
-	options   AgentOptions
-	shards    [shardCount]shard
-	peers     peers
-	ballots   ballots
-	adopt     sync.Mutex // serialises SetService, SetView and SetLoads
-	service   atomic.Uint32
-	current   atomic.Pointer[adopted]
-	addresses atomic.Pointer[addressSet]
-	balance   atomic.Pointer[balance]
-	owned     atomic.Int64
-	stats     stats
+	options    AgentOptions
+	shards     [shardCount]shard
+	peers      peerTable
+	ballots    ballotTable
+	adoptMu    sync.Mutex // serializes SetService and SetView
+	service    atomic.Uint32
+	current    atomic.Pointer[adoptedView]
+	addresses  atomic.Pointer[addressSet]
+	rebalance  atomic.Pointer[rebalancePlan]
+	ownedCount atomic.Int64
+	stats      counters
 }
 
-// shard is a part of the flow table under its own lock.
+// shard is a partition of the flow table with its own lock.
 type shard struct {
 	mu    sync.Mutex
 	flows table
 }
 
-// adopted is the newest view and when it was adopted.
-type adopted struct {
-	view     *view.View
-	previous *view.View // the one before, or nil
-	at       time.Duration
-	self     int // index of this agent, or -1
+// adoptedView is the active view and the time of its adoption.
+type adoptedView struct {
+	view      *view.View
+	previous  *view.View // the view active before, or nil
+	adoptedAt time.Duration
+	selfIndex int // member index of this agent, or -1
 }
 
 type addressSet struct {
@@ -88,22 +91,22 @@
 	sorted  []netip.AddrPort
 }
 
-// NewAgent returns an agent without flows.
+// NewAgent returns an agent with an empty flow table.
 func NewAgent(o AgentOptions) *Agent {
 	o.setDefaults()
 	a := &Agent{options: o}
 	a.peers.bySeed = make(map[uint64]uint32)
 	a.ballots.numbers = make(map[Ballot]uint32)
-	a.peers.silence = silenceRule{asks: o.UnresponsiveQueries, after: o.UnresponsiveAfter}
+	a.peers.unresponsive = unresponsiveRule{minQueries: o.UnresponsiveQueries, minElapsed: o.UnresponsiveAfter}
 	return a
 }
 
-// SetService sets the service that the backend server serves, and the addresses
-// that version of the configuration gives it. It reports false and changes
-// nothing if a newer version is in force.
+// SetService sets the service that the backend server serves and the service
+// addresses in the given version of the configuration. It returns false and
+// changes nothing if a newer version is active.
 func (a *Agent) SetService(id view.ServiceID, version view.Version, addresses []netip.AddrPort) bool {
-	a.adopt.Lock()
-	defer a.adopt.Unlock()
+	a.adoptMu.Lock()
+	defer a.adoptMu.Unlock()
 	if s := a.addresses.Load(); s != nil && s.version.Newer(version) {
 		return false
 	}
@@ -114,11 +117,12 @@
 	return true
 }
 
-// SetView adopts v if it is newer than the view in force, and reports whether.
+// SetView adopts v if it is newer than the active view, and reports whether it
+// did.
 func (a *Agent) SetView(now time.Duration, v *view.View) bool {
-	a.adopt.Lock()
-	defer a.adopt.Unlock()
-	next := &adopted{view: v, at: now, self: v.FindSeed(a.options.Self.Seed)}
+	a.adoptMu.Lock()
+	defer a.adoptMu.Unlock()
+	next := &adoptedView{view: v, adoptedAt: now, selfIndex: v.FindSeed(a.options.Self.Seed)}
 	if c := a.current.Load(); c != nil {
 		if !v.Version.Newer(c.view.Version) {
 			return false
@@ -126,13 +130,13 @@
 		next.previous = c.view
 	}
 	for i := range v.Members {
-		a.peers.slot(PeerOf(v, i))
+		a.peers.upsert(PeerOf(v, i))
 	}
 	a.current.Store(next)
 	return true
 }
 
-// View returns the newest view adopted, or nil.
+// View returns the active view, or nil.
 func (a *Agent) View() *view.View {
 	if c := a.current.Load(); c != nil {
 		return c.view
@@ -140,34 +144,34 @@
 	return nil
 }
 
-// Receive decides about a packet. With verdict Relay, p has been rewritten for
-// its next receiver.
+// Receive decides on a received packet. With verdict Relay, it has rewritten p
+// for the next receiver.
 func (a *Agent) Receive(now time.Duration, p *Packet) Action {
-	if reason := a.check(p); reason != NoReason {
-		return a.refuse(reason)
+	if reason := a.validate(p); reason != NoReason {
+		return a.drop(reason)
 	}
 	r := request{agent: a, now: now, packet: p, id: p.Tuple.ID()}
 	r.shard = a.shard(r.id)
 	r.shard.mu.Lock()
 	defer r.shard.mu.Unlock()
 	for _, d := range p.NonOwners[:p.NonOwnerCount] {
-		a.peers.heard(d)
+		a.peers.markResponsive(d)
 	}
 	switch p.Kind {
 	case Query:
-		return r.answer()
+		return r.receiveQuery()
 	case Assign:
-		return r.assigned()
+		return r.receiveAssign()
 	default:
 		return r.search()
 	}
 }
 
-// check finds what forbids p from being taken in at all.
-func (a *Agent) check(p *Packet) DropReason {
+// validate returns the reason why p cannot be processed at all, or NoReason.
+func (a *Agent) validate(p *Packet) DropReason {
 	addresses := a.addresses.Load()
 	switch {
-	case p.Kind >= kinds || p.NonOwnerCount > MaxNonOwners:
+	case p.Kind >= kindCount || p.NonOwnerCount > MaxNonOwners:
 		return Malformed
 	case addresses == nil || p.Service != view.ServiceID(a.service.Load()):
 		return WrongService
@@ -182,31 +186,31 @@
 	return NoReason
 }
 
-func (a *Agent) refuse(r DropReason) Action {
-	a.stats.refused[r].Add(1)
+func (a *Agent) drop(r DropReason) Action {
+	a.stats.dropped[r].Add(1)
 	return Action{Verdict: Drop, Reason: r}
 }
 
 func (a *Agent) shard(id ID) *shard { return &a.shards[id.Key%shardCount] }
 
-// Touch notes that an owned flow carried a reply.
+// Touch records that an owned flow carried a reply.
 func (a *Agent) Touch(now time.Duration, id ID) {
 	s := a.shard(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if e := s.flows.find(id); e != nil {
-		e.seen = ticks(now)
+		e.lastUsed = ticks(now)
 	}
 }
 
-// RemoveFlow forgets an owned flow.
+// RemoveFlow removes an owned flow from the table.
 func (a *Agent) RemoveFlow(id ID) {
 	s := a.shard(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if e := s.flows.find(id); e != nil && e.owned() {
+	if e := s.flows.find(id); e != nil && e.isOwned() {
 		s.flows.remove(id)
-		a.owned.Add(-1)
+		a.ownedCount.Add(-1)
 	}
 }
 
@@ -216,43 +220,45 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e := s.flows.find(id)
-	return e != nil && e.owned()
+	return e != nil && e.isOwned()
 }
 
-// StorePointers stores pointers to owner that from, which is the owner or an agent that
-// points to it, has sent. Flows that this agent owns are left alone, and a
-// second-hand pointer does not replace another.
+// StorePointers stores pointers to owner that were received from the agent from,
+// which is either the owner or an agent with a pointer to it. Flows that this
+// agent owns are not changed, and a pointer that is not from the owner itself
+// does not replace an existing one.
 func (a *Agent) StorePointers(now time.Duration, from, owner Peer, ids []ID) {
-	a.peers.heard(from.Seed)
+	a.peers.markResponsive(from.Seed)
 	if owner.Seed == a.options.Self.Seed {
 		return
 	}
-	slot := a.peers.slot(owner)
+	slot := a.peers.upsert(owner)
 	for _, id := range ids {
-		a.learn(now, slot, id, from.Seed == owner.Seed)
+		a.storePointer(now, slot, id, from.Seed == owner.Seed)
 	}
 }
 
-func (a *Agent) learn(now time.Duration, slot uint32, id ID, firstHand bool) {
+func (a *Agent) storePointer(now time.Duration, slot uint32, id ID, firstHand bool) {
 	s := a.shard(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e := s.flows.find(id)
 	switch {
-	case e != nil && e.owned():
+	case e != nil && e.isOwned():
 		a.stats.contested.Add(1)
-	case e == nil || e.free() || firstHand:
-		s.point(id, slot, now)
+	case e == nil || e.isOwnerUnknown() || firstHand:
+		s.setPointer(id, slot, now)
 	}
 }
 
-// MarkResponsive notes a sign of life of an agent, such as an acknowledgement.
-func (a *Agent) MarkResponsive(p Peer) { a.peers.heard(p.Seed) }
+// MarkResponsive records that an agent is alive, for example because it sent an
+// acknowledgment.
+func (a *Agent) MarkResponsive(p Peer) { a.peers.markResponsive(p.Seed) }
 
-// Owned calls f with every owned flow until f returns false.
+// Owned calls f for every owned flow until f returns false.
 func (a *Agent) Owned(f func(ID) bool) {
 	for i := range a.shards {
-		for _, id := range a.shards[i].owned() {
+		for _, id := range a.shards[i].ownedIDs() {
 			if !f(id) {
 				return
 			}
@@ -260,61 +266,63 @@
 	}
 }
 
-func (s *shard) owned() []ID {
+func (s *shard) ownedIDs() []ID {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ids := make([]ID, 0, s.flows.count)
 	for i := range s.flows.entries {
-		if e := &s.flows.entries[i]; e.owned() {
+		if e := &s.flows.entries[i]; e.isOwned() {
 			ids = append(ids, e.id)
 		}
 	}
 	return ids
 }
 
-// point sets the flow's pointer to a slot of peers.
-func (s *shard) point(id ID, slot uint32, now time.Duration) {
+// setPointer points the flow to the owner in the given slot of the peer table.
+func (s *shard) setPointer(id ID, slot uint32, now time.Duration) {
 	e := s.flows.insert(id)
-	e.seen, e.owner = ticks(now), ownerPeer+slot
+	e.lastUsed, e.owner = ticks(now), ownerPeer+slot
 }
 
-// Sweep drops what has been idle too long from one shard, chosen by turn, and
-// returns the owned flows among it. Call it shardCount times per period.
+// Sweep removes the expired flows and pointers of shard turn modulo shardCount
+// and returns the IDs of the owned flows among them. Callers increment turn with
+// every call, so that shardCount (64) calls cover the whole table.
 func (a *Agent) Sweep(now time.Duration, turn int) []ID {
 	s := &a.shards[turn%shardCount]
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var drop, ended []ID
+	var expired, ended []ID
 	for i := range s.flows.entries {
 		e := &s.flows.entries[i]
-		if !e.used() || !a.idle(e, now) {
+		if !e.inUse() || !a.isIdle(e, now) {
 			continue
 		}
-		drop = append(drop, e.id)
-		if e.owned() {
+		expired = append(expired, e.id)
+		if e.isOwned() {
 			ended = append(ended, e.id)
 		}
 	}
-	for _, id := range drop {
+	for _, id := range expired {
 		s.flows.remove(id)
 	}
 	s.flows.compact()
-	a.owned.Add(-int64(len(ended)))
+	a.ownedCount.Add(-int64(len(ended)))
 	return ended
 }
 
-func (a *Agent) idle(e *entry, now time.Duration) bool {
+func (a *Agent) isIdle(e *entry, now time.Duration) bool {
 	limit := a.options.PointerTTL
-	if e.owned() {
+	if e.isOwned() {
 		limit = a.options.IdleTimeout
 	}
-	return ticks(now) > e.seen+ticks(limit)
+	return ticks(now) > e.lastUsed+ticks(limit)
 }
 
 func ticks(d time.Duration) uint32 { return uint32(d / tick) }
 
-// pickOf returns the agent that v places key on; ok is false where there is none.
-func pickOf(key uint64, v *view.View) (p Peer, ok bool) {
+// pickPeer returns the agent that v places key on; ok is false if v places it on
+// none.
+func pickPeer(key uint64, v *view.View) (p Peer, ok bool) {
 	i := placement.Pick(key, v)
 	if i == placement.None {
 		return Peer{}, false
--- a/core/flow/balancer.go
+++ b/core/flow/balancer.go
@@ -13,35 +13,36 @@
 )
 
 var (
-	errorsOfFlow = errorx.NewNamespace("flow")
+	errorNamespace = errorx.NewNamespace("flow")
 
-	// ErrUnknownAddress is returned for a packet to no service's address.
-	ErrUnknownAddress = errorsOfFlow.NewType("unknown_address").NewWithNoMessage()
+	// ErrUnknownAddress is returned if no service has the destination address.
+	ErrUnknownAddress = errorNamespace.NewType("unknown_address").NewWithNoMessage()
 	// ErrNoView is returned while a service has no view.
-	ErrNoView = errorsOfFlow.NewType("no_view").NewWithNoMessage()
+	ErrNoView = errorNamespace.NewType("no_view").NewWithNoMessage()
 	// ErrNoTarget is returned while a service has no backend server to forward to.
-	ErrNoTarget = errorsOfFlow.NewType("no_target").NewWithNoMessage()
+	ErrNoTarget = errorNamespace.NewType("no_target").NewWithNoMessage()
 )
 
-// Binding gives a service address to a service.
+// Binding maps a service address to its service.
 type Binding struct {
 	Address netip.AddrPort
 	Service view.ServiceID
 }
 
-// Decision is where a balancer forwards a packet to.
+// Decision is the result of forwarding one packet.
 type Decision struct {
 	Service view.ServiceID
 	Version view.Version
-	// Target is the agent beside the pick.
+	// Target is the agent of the backend server that the view places the flow on.
 	Target Peer
-	// EarlierPicks are the agents that earlier views placed the flow on, if others.
+	// EarlierPicks are the agents other than Target that earlier views placed the
+	// flow on.
 	EarlierPicks EarlierPicks
-	// EarlierPicksComplete tells that Priors is complete.
+	// EarlierPicksComplete reports whether EarlierPicks lists all of them.
 	EarlierPicksComplete bool
 }
 
-// Packet returns the envelope of a datagram of t.
+// Packet returns the envelope for a datagram of t.
 func (d *Decision) Packet(t Tuple) Packet {
 	return Packet{
 		Kind: Search, Service: d.Service, Ballot: Ballot{Version: d.Version}, Tuple: t,
@@ -49,62 +50,63 @@
 	}
 }
 
-// Balancer decides where packets of callers go. Nothing it holds is needed by a
-// flow: another balancer with the same view decides the same. Its methods may
-// be called from several goroutines; Forward takes no lock.
+// Balancer decides where to forward the packets of callers. It has no state per
+// flow: another balancer with the same view makes the same decisions. Its methods
+// are safe for concurrent use; Forward takes no lock.
 type Balancer struct {
-	window   time.Duration
-	shards   [shardCount]addressShard
-	drops    [reasons]counter
-	mu       sync.Mutex // serialises the setters
-	version  view.Version
-	bound    bool
-	services map[view.ServiceID]*service
+	historyWindow   time.Duration
+	shards          [shardCount]addressShard
+	drops           [reasonCount]counter
+	mu              sync.Mutex // serializes the setters
+	bindingsVersion view.Version
+	hasBindings     bool
+	services        map[view.ServiceID]*serviceState
 }
 
-// addressShard holds the addresses whose hash falls to it, copied on write.
+// addressShard is the copy-on-write table of the addresses that hash to it.
 type addressShard struct {
-	table atomic.Pointer[map[netip.AddrPort]*service]
+	table atomic.Pointer[map[netip.AddrPort]*serviceState]
 }
 
-type service struct {
+type serviceState struct {
 	id    view.ServiceID
-	views atomic.Pointer[views]
+	views atomic.Pointer[viewHistory]
 }
 
-// views is the view in force and, for a while, what earlier ones placed where.
-type views struct {
-	current *picker
-	earlier []*picker // the newest first
-	at      time.Duration
+// viewHistory is the active view of a service and, for historyWindow after its
+// adoption, the pickers of earlier views.
+type viewHistory struct {
+	current   *picker
+	earlier   []*picker // newest first
+	adoptedAt time.Duration
 }
 
-// NewBalancer returns a balancer without services. Earlier views of a
-// service are consulted for the given time after a change.
+// NewBalancer returns a balancer without services. Earlier views of a service are
+// consulted for the given time after the adoption of a new one.
 func NewBalancer(window time.Duration) *Balancer {
-	b := &Balancer{window: window, services: make(map[view.ServiceID]*service)}
+	b := &Balancer{historyWindow: window, services: make(map[view.ServiceID]*serviceState)}
 	for i := range b.shards {
-		b.shards[i].table.Store(&map[netip.AddrPort]*service{})
+		b.shards[i].table.Store(&map[netip.AddrPort]*serviceState{})
 	}
 	return b
 }
 
 // SetBindings replaces the service addresses by those of a version of the
-// configuration. It reports false and changes nothing unless version is newer
-// than the one in force.
+// configuration. It returns false and changes nothing unless version is newer
+// than the active one.
 func (b *Balancer) SetBindings(version view.Version, bindings []Binding) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.bound && !version.Newer(b.version) {
+	if b.hasBindings && !version.Newer(b.bindingsVersion) {
 		return false
 	}
-	b.version, b.bound = version, true
-	var tables [shardCount]map[netip.AddrPort]*service
+	b.bindingsVersion, b.hasBindings = version, true
+	var tables [shardCount]map[netip.AddrPort]*serviceState
 	for i := range tables {
-		tables[i] = make(map[netip.AddrPort]*service)
+		tables[i] = make(map[netip.AddrPort]*serviceState)
 	}
 	for _, n := range bindings {
-		tables[shardOf(n.Address)][n.Address] = b.service(n.Service)
+		tables[shardOf(n.Address)][n.Address] = b.ensureService(n.Service)
 	}
 	for i := range tables {
 		b.shards[i].table.Store(&tables[i])
@@ -112,18 +114,18 @@
 	return true
 }
 
-// service returns the state of a service, made if there is none. The caller
-// holds b.mu.
-func (b *Balancer) service(id view.ServiceID) *service {
+// ensureService returns the state of a service, creating it if necessary. The
+// caller holds b.mu.
+func (b *Balancer) ensureService(id view.ServiceID) *serviceState {
 	s := b.services[id]
 	if s == nil {
-		s = &service{id: id}
+		s = &serviceState{id: id}
 		b.services[id] = s
 	}
 	return s
 }
 
-// RetainServices drops the views of services that keep does not hold.
+// RetainServices removes the services for which keep returns false.
 func (b *Balancer) RetainServices(keep func(view.ServiceID) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -134,22 +136,22 @@
 	}
 }
 
-// SetView adopts v if it is newer than its service's view in force, and reports
-// whether.
+// SetView adopts v if it is newer than the active view of its service, and
+// reports whether it did.
 func (b *Balancer) SetView(now time.Duration, v *view.View) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := b.service(v.Service)
+	s := b.ensureService(v.Service)
 	old := s.views.Load()
 	if old != nil && !v.Version.Newer(old.current.view.Version) {
 		return false
 	}
-	s.views.Store(newViews(now, v, old))
+	s.views.Store(newViewHistory(now, v, old))
 	return true
 }
 
-func newViews(now time.Duration, v *view.View, old *views) *views {
-	n := &views{current: newPicker(v, v.Targets()), at: now}
+func newViewHistory(now time.Duration, v *view.View, old *viewHistory) *viewHistory {
+	n := &viewHistory{current: newPicker(v, v.Targets()), adoptedAt: now}
 	if old != nil {
 		n.earlier = append(n.earlier, old.current)
 	}
@@ -161,18 +163,19 @@
 	return n
 }
 
-// ExpireEarlierViews drops earlier views that have been superseded for long enough.
+// ExpireEarlierViews removes the earlier views of services whose active view was
+// adopted longer ago than the history window.
 func (b *Balancer) ExpireEarlierViews(now time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, s := range b.services {
-		if p := s.views.Load(); p != nil && p.earlier != nil && now-p.at > b.window {
-			s.views.Store(&views{current: p.current, at: p.at})
+		if p := s.views.Load(); p != nil && p.earlier != nil && now-p.adoptedAt > b.historyWindow {
+			s.views.Store(&viewHistory{current: p.current, adoptedAt: p.adoptedAt})
 		}
 	}
 }
 
-// View returns the view in force of a service, or nil.
+// View returns the active view of a service, or nil.
 func (b *Balancer) View(id view.ServiceID) *view.View {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -186,8 +189,8 @@
 	return nil
 }
 
-// Forward decides about a packet of t. Errors are ErrUnknownAddress, ErrNoView
-// and ErrNoTarget; each is counted.
+// Forward decides where to forward a packet of t. The errors are
+// ErrUnknownAddress, ErrNoView and ErrNoTarget; each is counted in Drops.
 func (b *Balancer) Forward(t Tuple) (Decision, error) {
 	s := (*b.shards[shardOf(t.Service)].table.Load())[t.Service]
 	if s == nil {
@@ -208,21 +211,21 @@
 	v := views.current.view
 	d := Decision{Service: s.id, Version: v.Version, Target: PeerOf(v, current), EarlierPicksComplete: true}
 	if views.earlier != nil {
-		d.EarlierPicks, d.EarlierPicksComplete = views.priors(key, d.Target.Seed)
+		d.EarlierPicks, d.EarlierPicksComplete = views.earlierPicks(key, d.Target.Seed)
 	}
 	return d, nil
 }
 
-// priors returns the agents other than pick that earlier views placed key on, in
-// their latest runs, and whether that is all of them.
-func (v *views) priors(key, pick uint64) (p EarlierPicks, all bool) {
+// earlierPicks returns the agents other than pick that earlier views placed key
+// on, in their latest runs, and whether the list is complete.
+func (v *viewHistory) earlierPicks(key, pick uint64) (p EarlierPicks, complete bool) {
 	for _, e := range v.earlier {
 		i := e.pick(key)
 		if i == placement.None {
 			continue
 		}
-		first, stays := v.latest(e.view, i)
-		if first.Seed != pick && !p.add(first) {
+		prior, stays := v.latestRun(e.view, i)
+		if prior.Seed != pick && !p.add(prior) {
 			return p, false
 		}
 		if stays {
@@ -232,16 +235,16 @@
 		if i == placement.None {
 			continue
 		}
-		if next, _ := v.latest(e.view, i); next.Seed != pick && !p.add(next) {
+		if substitute, _ := v.latestRun(e.view, i); substitute.Seed != pick && !p.add(substitute) {
 			return p, false
 		}
 	}
 	return p, true
 }
 
-// latest returns member i of an older view in its latest run, and whether it
-// stays in the newest view.
-func (v *views) latest(old *view.View, i int) (Peer, bool) {
+// latestRun returns member i of an older view in its latest run, and whether the
+// member stays in the active view.
+func (v *viewHistory) latestRun(old *view.View, i int) (Peer, bool) {
 	current := v.current.view
 	j := i
 	if current != old {
@@ -253,7 +256,7 @@
 	return PeerOf(current, j), current.Members[j].Stays()
 }
 
-// Drops returns the number of packets not forwarded, by reason.
+// Drops returns the number of packets that were not forwarded, by reason.
 func (b *Balancer) Drops() DropCounts {
 	var r DropCounts
 	for i := range r {
--- a/core/flow/ballot.go
+++ b/core/flow/ballot.go
@@ -6,15 +6,17 @@
 	"fulmarmount.org/core/view"
 )
 
-// Ballot is a right to take a flow. Under the ballot of a view version, only the
-// version's pick, the ballot's home, may take the flow, after the homes of
-// earlier ballots have promised not to. A home that lends its ballot to another
-// agent, for balance, keeps the retake, which is newer.
+// Ballot is the right to acquire ownership of a flow. Under the ballot of a view
+// version only the ballot's home, which is the agent that the version picks, may
+// acquire the flow, and only after the homes of earlier ballots have promised not
+// to. A home that delegates its ballot to another agent, to balance load, keeps
+// the retake ballot of the same version, which is newer.
 //
-// No two agents take one flow: the later ballot's home has the promise of the
-// earlier one's, which had not taken the flow when it promised and may not
-// afterwards. The argument is that of "Paxos Made Simple", section 2.2, with
-// one proposer per ballot and all earlier proposers as the quorum.
+// No two agents acquire the same flow: the home of the later ballot has the
+// promise of the home of the earlier one, which had not acquired the flow when it
+// promised and may not do so afterwards. The argument is that of "Paxos Made
+// Simple", section 2.2, with one proposer per ballot and all earlier proposers as
+// the quorum.
 type Ballot struct {
 	Version view.Version
 	Retake  bool
@@ -28,17 +30,18 @@
 	return b.Retake && !o.Retake
 }
 
-func (b Ballot) retake() Ballot { return Ballot{Version: b.Version, Retake: true} }
+func (b Ballot) retakeBallot() Ballot { return Ballot{Version: b.Version, Retake: true} }
 
-// ballots numbers ballots, so that an entry keeps a number in place of one.
-type ballots struct {
+// ballotTable interns ballots, so that a flow table entry stores a number instead
+// of a ballot.
+type ballotTable struct {
 	mu      sync.RWMutex
 	list    []Ballot
 	numbers map[Ballot]uint32
 }
 
-// number returns the number of b, from 1.
-func (s *ballots) number(b Ballot) uint32 {
+// intern returns the number of b, starting at 1.
+func (s *ballotTable) intern(b Ballot) uint32 {
 	s.mu.RLock()
 	n, ok := s.numbers[b]
 	s.mu.RUnlock()
@@ -56,8 +59,8 @@
 	return n
 }
 
-// ballot returns the ballot with a number, or the zero ballot for 0.
-func (s *ballots) ballot(number uint32) Ballot {
+// ballot returns the ballot with the given number, or the zero ballot for 0.
+func (s *ballotTable) ballot(number uint32) Ballot {
 	if number == 0 {
 		return Ballot{}
 	}
--- a/core/flow/bench_test.go
+++ b/core/flow/bench_test.go
@@ -11,9 +11,9 @@
 	for _, n := range []int{7, 100, 5000} {
 		for _, settled := range []bool{true, false} {
 			b.Run(fmt.Sprintf("hosts=%d/settled=%t", n, settled), func(b *testing.B) {
-				balancer := balancerOn(hosts(n, 2))
+				balancer := newTestBalancer(readyView(n, 2))
 				if !settled {
-					balancer = balancerOn(hosts(n, 1), hosts(n+1, 2))
+					balancer = newTestBalancer(readyView(n, 1), readyView(n+1, 2))
 				}
 				tuples := make([]Tuple, 4096)
 				for i := range tuples {
@@ -31,7 +31,7 @@
 }
 
 func BenchmarkForwardParallel(b *testing.B) {
-	balancer := balancerOn(hosts(7, 1))
+	balancer := newTestBalancer(readyView(7, 1))
 	b.RunParallel(func(pb *testing.PB) {
 		for i := 0; pb.Next(); i++ {
 			_, _ = balancer.Forward(tupleOf(i & 0xfff))
@@ -41,8 +41,8 @@
 
 func BenchmarkDeliver(b *testing.B) {
 	const flows = 300_000
-	v := hosts(1, 1)
-	a := agentOn(v, 0)
+	v := readyView(1, 1)
+	a := newTestAgent(v, 0)
 	packet := func(i int) Packet {
 		return Packet{Service: 1, TargetIncarnation: 1, Ballot: Ballot{Version: view.Version{Epoch: 1, Number: 1}}, EarlierPicksComplete: true, Tuple: tupleOf(i)}
 	}
@@ -51,7 +51,7 @@
 		a.Receive(0, &p)
 	}
 	i := 0
-	var p Packet // a reader keeps one
+	var p Packet // reused, as a packet reader does
 	b.ReportAllocs()
 	for b.Loop() {
 		p = packet(i * 7919 % flows)
--- a/core/flow/export_test.go
+++ b/core/flow/export_test.go
@@ -9,7 +9,7 @@
 	"fulmarmount.org/core/view"
 )
 
-func TestExportKeepsOwnershipPointersAndPromises(t *testing.T) {
+func TestExportPreservesOwnershipPointersAndPromises(t *testing.T) {
 	is := is.New(t)
 	const now = 10 * time.Second
 	self, other := Peer{Seed: 1, Incarnation: 1}, Peer{Seed: 2, Incarnation: 7}
@@ -23,11 +23,11 @@
 	first := before.Export(now)
 	is.Equal(len(first), 3)
 	after := NewAgent(AgentOptions{Self: self})
-	after.Import(2*time.Second, first) // its clock has another start
+	after.Import(2*time.Second, first) // the next run has another clock start
 	second := after.Export(2 * time.Second)
 	is.Equal(second, first)
 	is.True(after.Owns(ID{Key: 1, Check: 1}))
-	is.Equal(after.owned.Load(), int64(1))
+	is.Equal(after.ownedCount.Load(), int64(1))
 	for _, s := range second {
 		switch s.ID.Key {
 		case 2:
--- a/core/flow/flow_test.go
+++ b/core/flow/flow_test.go
@@ -12,8 +12,8 @@
 	"fulmarmount.org/core/view"
 )
 
-// hosts returns a view with n ready hosts.
-func hosts(n int, version uint64) *view.View {
+// readyView returns a view with n ready backend servers.
+func readyView(n int, version uint64) *view.View {
 	members := make([]view.BackendServer, n)
 	for i := range members {
 		members[i] = memberOf(i, view.FullWeight)
@@ -22,14 +22,14 @@
 	return view.New(1, view.Version{Epoch: 1, Number: version}, members)
 }
 
-func agentOn(v *view.View, i int) *Agent {
+func newTestAgent(v *view.View, i int) *Agent {
 	a := NewAgent(AgentOptions{Self: PeerOf(v, i)})
 	a.SetService(v.Service, view.Version{}, []netip.AddrPort{serviceAddr})
 	a.SetView(0, v)
 	return a
 }
 
-func balancerOn(views ...*view.View) *Balancer {
+func newTestBalancer(views ...*view.View) *Balancer {
 	b := NewBalancer(time.Second)
 	b.SetBindings(view.Version{Number: 1}, []Binding{{serviceAddr, 1}})
 	for _, v := range views {
@@ -40,8 +40,8 @@
 
 func TestForward(t *testing.T) {
 	is := is.New(t)
-	before, after := hosts(7, 1), hosts(8, 2)
-	b, fresh := balancerOn(before, after), balancerOn(after)
+	before, after := readyView(7, 1), readyView(8, 2)
+	b, fresh := newTestBalancer(before, after), newTestBalancer(after)
 	is.True(!b.SetView(0, before)) // older
 	moved := 0
 	for i := range 1000 {
@@ -52,7 +52,7 @@
 		is.Equal(d.Target, f.Target) // the pick depends on the view alone
 		if !d.EarlierPicks[0].IsZero() {
 			moved++
-			is.Equal(d.Target.Seed, after.Seed(7)) // only to the host that joined
+			is.Equal(d.Target.Seed, after.Seed(7)) // flows move only to the member that joined
 		}
 	}
 	is.True(moved > 75 && moved < 175) // an eighth, within five standard deviations
@@ -72,9 +72,9 @@
 		err    error
 		reason DropReason
 	}{
-		{balancerOn(), tupleOf(1), ErrNoView, NoView},
-		{balancerOn(empty), tupleOf(1), ErrNoTarget, NoTarget},
-		{balancerOn(hosts(7, 1)), elsewhere, ErrUnknownAddress, UnknownAddress},
+		{newTestBalancer(), tupleOf(1), ErrNoView, NoView},
+		{newTestBalancer(empty), tupleOf(1), ErrNoTarget, NoTarget},
+		{newTestBalancer(readyView(7, 1)), elsewhere, ErrUnknownAddress, UnknownAddress},
 	} {
 		_, err := c.b.Forward(c.tuple)
 		is.Equal(err, c.err)
@@ -82,31 +82,31 @@
 	}
 }
 
-// TestReassignedAddress covers every pair of processes of which one knows that
-// an address has moved to another service.
+// TestReassignedAddress covers an address that moved to another service while
+// only the agent or only the balancer has the new configuration.
 func TestReassignedAddress(t *testing.T) {
 	is := is.New(t)
-	v := hosts(1, 1)
-	b, a := balancerOn(v), agentOn(v, 0)
+	v := readyView(1, 1)
+	b, a := newTestBalancer(v), newTestAgent(v, 0)
 	d, err := b.Forward(tupleOf(1))
 	is.NoErr(err)
 	p := d.Packet(tupleOf(1))
 	is.Equal(a.Receive(0, &p).Verdict, Deliver)
 
-	is.True(a.SetService(1, view.Version{Number: 2}, nil)) // the agent knows, the balancer does not
+	is.True(a.SetService(1, view.Version{Number: 2}, nil)) // only the agent has the new configuration
 	p = d.Packet(tupleOf(1))
-	is.Equal(a.Receive(0, &p).Reason, WrongAddress) // even the flow it owned
+	is.Equal(a.Receive(0, &p).Reason, WrongAddress) // also for the flow that it owned
 	is.True(!a.SetService(1, view.Version{Number: 1}, []netip.AddrPort{serviceAddr}))
 
-	is.True(b.SetBindings(view.Version{Number: 2}, []Binding{{serviceAddr, 2}})) // the balancer knows
+	is.True(b.SetBindings(view.Version{Number: 2}, []Binding{{serviceAddr, 2}})) // now the balancer has it too
 	is.True(!b.SetBindings(view.Version{Number: 1}, []Binding{{serviceAddr, 1}}))
 	_, err = b.Forward(tupleOf(1))
 	is.Equal(err, ErrNoView)
 }
 
-func TestRefusals(t *testing.T) {
-	v := hosts(1, 1)
-	d, _ := balancerOn(v).Forward(tupleOf(1))
+func TestDropReasons(t *testing.T) {
+	v := readyView(1, 1)
+	d, _ := newTestBalancer(v).Forward(tupleOf(1))
 	cases := []struct {
 		name   string
 		change func(*Packet)
@@ -117,13 +117,13 @@
 		{"a later run", func(p *Packet) { p.TargetIncarnation++ }, WrongIncarnation},
 		{"another address", func(p *Packet) { p.Tuple.Service = netip.MustParseAddrPort("127.1.0.2:443") }, WrongAddress},
 		{"too many hops", func(p *Packet) { p.Hops = 25 }, HopLimit},
-		{"kind out of range", func(p *Packet) { p.Kind = kinds }, Malformed},
-		{"too many denials", func(p *Packet) { p.NonOwnerCount = MaxNonOwners + 1 }, Malformed},
+		{"kind out of range", func(p *Packet) { p.Kind = kindCount }, Malformed},
+		{"too many non-owners", func(p *Packet) { p.NonOwnerCount = MaxNonOwners + 1 }, Malformed},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			a := agentOn(v, 0)
+			a := newTestAgent(v, 0)
 			p := d.Packet(tupleOf(1))
 			c.change(&p)
 			is.Equal(a.Receive(0, &p), Action{Verdict: Drop, Reason: c.want})
@@ -131,40 +131,40 @@
 			is.Equal(a.OwnedCount(), 0)
 		})
 	}
-	is.New(t).Equal(NewAgent(AgentOptions{}).Receive(0, &Packet{}).Reason, WrongService) // no service known yet
+	is.New(t).Equal(NewAgent(AgentOptions{}).Receive(0, &Packet{}).Reason, WrongService) // no service is set yet
 }
 
-func TestDrainingTakesNothingNew(t *testing.T) {
+func TestDrainingAgentAcquiresNoNewFlow(t *testing.T) {
 	is := is.New(t)
-	before, after := hosts(2, 1), hosts(2, 2)
+	before, after := readyView(2, 1), readyView(2, 2)
 	after.Members[0].State, after.Members[0].Weight = view.Draining, 0
 	after.Prepare()
-	a := agentOn(before, 0)
+	a := newTestAgent(before, 0)
 	known := Packet{Service: 1, TargetIncarnation: 1, Ballot: Ballot{Version: before.Version}, EarlierPicksComplete: true, Tuple: tupleOf(1)}
 	first := known
 	is.True(a.Receive(0, &first).BecameOwner)
 	a.SetView(0, after)
-	is.Equal(a.Receive(0, &known).Verdict, Deliver) // keeps what it owns
+	is.Equal(a.Receive(0, &known).Verdict, Deliver) // delivers flows that it owns
 	fresh := Packet{Service: 1, TargetIncarnation: 1, Ballot: Ballot{Version: before.Version}, EarlierPicksComplete: true, Tuple: tupleOf(2)}
 	action := a.Receive(0, &fresh)
 	is.Equal(action.Verdict, Relay)
 	is.Equal(action.To, PeerOf(after, 1))
-	all := hosts(2, 3)
+	all := readyView(2, 3)
 	for i := range all.Members {
 		all.Members[i].State = view.Draining
 	}
 	all.Prepare()
 	a.SetView(0, all)
 	fresh = Packet{Service: 1, TargetIncarnation: 1, Ballot: Ballot{Version: all.Version}, EarlierPicksComplete: true, Tuple: tupleOf(3)}
-	is.Equal(a.Receive(time.Minute, &fresh).Reason, NoTarget) // earlier picks no longer count
-	_, err := balancerOn(all).Forward(tupleOf(1))
+	is.Equal(a.Receive(time.Minute, &fresh).Reason, NoTarget) // the history window has ended
+	_, err := newTestBalancer(all).Forward(tupleOf(1))
 	is.NoErr(err) // flows of draining hosts are still forwarded
 }
 
-func TestSilentAgentIsPassedOver(t *testing.T) {
+func TestUnresponsiveNonMemberIsSkipped(t *testing.T) {
 	is := is.New(t)
-	v, without := hosts(2, 1), hosts(1, 2)
-	a := agentOn(v, 0)
+	v, without := readyView(2, 1), readyView(1, 2)
+	a := newTestAgent(v, 0)
 	receive := func(now time.Duration, i int) Verdict {
 		p := Packet{Service: 1, TargetIncarnation: 1, Ballot: Ballot{Version: v.Version}, EarlierPicksComplete: true, Tuple: tupleOf(i), EarlierPicks: EarlierPicks{PeerOf(v, 1)}}
 		return a.Receive(now, &p).Verdict
@@ -172,18 +172,18 @@
 	for i := range 4 {
 		is.Equal(receive(time.Duration(i)*400*time.Millisecond, i), Relay)
 	}
-	is.Equal(receive(1300*time.Millisecond, 5), Relay) // a member is never passed over
+	is.Equal(receive(1300*time.Millisecond, 5), Relay) // a member is never skipped
 	a.SetView(0, without)
 	is.Equal(receive(1400*time.Millisecond, 6), Deliver)
-	is.Equal(receive(3*time.Second, 7), Relay) // asked again after a while
+	is.Equal(receive(3*time.Second, 7), Relay) // queried again after UnresponsiveAfter
 	a.MarkResponsive(PeerOf(v, 1))
 	is.Equal(receive(3100*time.Millisecond, 8), Relay)
 }
 
-func TestIdleFlowsEnd(t *testing.T) {
+func TestIdleFlowsExpire(t *testing.T) {
 	is := is.New(t)
-	v := hosts(1, 1)
-	a := agentOn(v, 0)
+	v := readyView(1, 1)
+	a := newTestAgent(v, 0)
 	for i := range 100 {
 		p := Packet{Service: 1, TargetIncarnation: 1, Ballot: Ballot{Version: v.Version}, EarlierPicksComplete: true, Tuple: tupleOf(i)}
 		a.Receive(0, &p)
@@ -200,7 +200,7 @@
 	is.Equal(sweep(6*time.Minute), 99)
 	is.True(a.Owns(tupleOf(7).ID()))
 	is.Equal(a.OwnedCount(), 1)
-	is.Equal(a.FlowsByOwner()[1].Flows, 1) // pointers live longer
+	is.Equal(a.FlowsByOwner()[1].Flows, 1) // pointers expire later
 	a.RemoveFlow(tupleOf(7).ID())
 	is.Equal(sweep(time.Hour), 0)
 	is.Equal(len(a.FlowsByOwner()), 1)
@@ -219,13 +219,13 @@
 			delete(naive, id)
 		case 1:
 			seen := rng.Uint32()
-			table.insert(id).seen = seen
+			table.insert(id).lastUsed = seen
 			naive[id] = seen
 		default:
 			e := table.find(id)
 			seen, ok := naive[id]
 			is.Equal(e != nil, ok)
-			is.True(e == nil || e.seen == seen)
+			is.True(e == nil || e.lastUsed == seen)
 		}
 		is.Equal(table.count, len(naive))
 		if rng.IntN(1000) == 0 {
@@ -236,8 +236,8 @@
 
 func TestStateBytesPerFlow(t *testing.T) {
 	is := is.New(t)
-	v := hosts(1, 1)
-	a := agentOn(v, 0)
+	v := readyView(1, 1)
+	a := newTestAgent(v, 0)
 	worst := 0.0
 	for n := 1; n <= 300_000; n++ {
 		p := Packet{Service: 1, TargetIncarnation: 1, Ballot: Ballot{Version: v.Version}, EarlierPicksComplete: true, Tuple: tupleOf(n)}
@@ -246,14 +246,14 @@
 			worst = max(worst, float64(a.TableBytes())/float64(n))
 		}
 	}
-	t.Logf("%.1f bytes a flow at most between 100,000 and 300,000 flows", worst)
+	t.Logf("at most %.1f bytes per flow from 100,000 to 300,000 flows", worst)
 	is.True(worst <= 64)
 }
 
 func TestNoAllocations(t *testing.T) {
 	is := is.New(t)
-	v := hosts(7, 1)
-	b, a := balancerOn(v), agentOn(v, 0)
+	v := readyView(7, 1)
+	b, a := newTestBalancer(v), newTestAgent(v, 0)
 	i := 0
 	p := Packet{Service: 1, TargetIncarnation: 1, Ballot: Ballot{Version: v.Version}, EarlierPicksComplete: true, Tuple: tupleOf(1)}
 	first := p
--- a/core/flow/interleave_test.go
+++ b/core/flow/interleave_test.go
@@ -14,11 +14,11 @@
 	"fulmarmount.org/core/view"
 )
 
-// maxHops is high enough for no packet of a model to reach it.
+// maxHops is high enough that no packet of a model reaches it.
 const maxHops = 255
 
-// settleMessages is the number of messages within which a packet is delivered.
-const settleMessages = 32
+// maxSettleMessages is the number of messages within which a packet must be delivered.
+const maxSettleMessages = 32
 
 var serviceAddr = netip.MustParseAddrPort("127.1.0.1:443")
 
@@ -33,9 +33,9 @@
 	}
 }
 
-// chain returns views over three hosts; version i places on the host picks[i]
-// alone, and carries the weights of all before it.
-func chain(picks ...int) []*view.View {
+// singlePickViews returns views over three hosts. Version i places every flow on
+// the host picks[i] and lists the weights of all earlier versions.
+func singlePickViews(picks ...int) []*view.View {
 	views := make([]*view.View, len(picks))
 	var earlier []view.Past
 	for i, pick := range picks {
@@ -50,21 +50,22 @@
 	return views
 }
 
-// model is one configuration to explore.
+// model is one configuration whose states are explored.
 type model struct {
 	name    string
 	views   []*view.View
-	agents  [3]int // index of the view that each agent holds at the start
-	packets []source
-	lose    int  // messages that may be lost
+	agents  [3]int // index of the initial view of each agent
+	packets []forwardedPacket
+	maxLost int  // number of messages that may be lost
 	divert  bool // host 0 places new flows on host 2
-	sent    []message
+	initial []message
 }
 
-// source is a balancer's packet by one view, whose balancer held another before.
-type source struct{ view, before int }
+// forwardedPacket is a packet that a balancer forwards by view. The balancer
+// adopted the view before first; -1 if it had none.
+type forwardedPacket struct{ view, before int }
 
-// run is one state reached by a sequence of choices.
+// run is the state reached by a sequence of choices.
 type run struct {
 	model  *model
 	agents [3]*Agent
@@ -75,9 +76,9 @@
 }
 
 type message struct {
-	to     int
-	packet Packet
-	tell   *Peer // set on an answer in place of a packet
+	to      int
+	packet  Packet
+	pointer *Peer // set on a message that carries a pointer instead of a packet
 }
 
 func (m *model) start() *run {
@@ -90,15 +91,15 @@
 	}
 	if m.divert {
 		v := m.views[m.agents[0]]
-		b := &balance{view: v, under: []view.Target{{Seed: v.Seed(2), Weight: 1, Index: 2}}}
+		b := &rebalancePlan{view: v, underloaded: []view.Target{{Seed: v.Seed(2), Weight: 1, Index: 2}}}
 		b.quota.Store(1)
-		r.agents[0].balance.Store(b)
+		r.agents[0].rebalance.Store(b)
 	}
-	r.queue = slices.Clone(m.sent)
+	r.queue = slices.Clone(m.initial)
 	return r
 }
 
-// forward fills in what the balancers send.
+// forward computes the packets that the balancers send.
 func (m *model) forward() {
 	for _, s := range m.packets {
 		b := NewBalancer(0)
@@ -111,29 +112,30 @@
 		if err != nil {
 			panic(err)
 		}
-		m.sent = append(m.sent, message{to: hostOf(d.Target), packet: d.Packet(tupleOf(1))})
+		m.initial = append(m.initial, message{to: hostIndex(d.Target), packet: d.Packet(tupleOf(1))})
 	}
 }
 
-func hostOf(p Peer) int { return int(p.Addr.Addr().As4()[3]) }
+func hostIndex(p Peer) int { return int(p.Addr.Addr().As4()[3]) }
 
-// choices are: deliver message i, lose message i, or move agent i one view on.
+// choices returns the number of choices: deliver message i, lose message i, or let
+// agent i adopt its next view.
 func (r *run) choices() int {
 	return 2*len(r.queue) + len(r.agents)
 }
 
-// step makes choice c, and reports false where it is not possible.
+// step applies choice c, and returns false if it is not possible.
 func (r *run) step(c int) bool {
 	n := len(r.queue)
 	switch {
 	case c < n:
-		m := r.take(c)
+		m := r.removeMessage(c)
 		r.receive(m)
 	case c < 2*n:
-		if r.lost++; r.lost > r.model.lose {
+		if r.lost++; r.lost > r.model.maxLost {
 			return false
 		}
-		r.take(c - n)
+		r.removeMessage(c - n)
 	default:
 		i := c - 2*n
 		if r.views[i]+1 >= len(r.model.views) {
@@ -145,7 +147,7 @@
 	return true
 }
 
-func (r *run) take(i int) message {
+func (r *run) removeMessage(i int) message {
 	m := r.queue[i]
 	r.queue = append(append([]message(nil), r.queue[:i]...), r.queue[i+1:]...)
 	return m
@@ -154,8 +156,8 @@
 func (r *run) receive(m message) {
 	a := r.agents[m.to]
 	id := tupleOf(1).ID()
-	if m.tell != nil {
-		a.StorePointers(0, *m.tell, *m.tell, []ID{id})
+	if m.pointer != nil {
+		a.StorePointers(0, *m.pointer, *m.pointer, []ID{id})
 		return
 	}
 	action := a.Receive(0, &m.packet)
@@ -163,11 +165,11 @@
 	case Deliver:
 		r.owners[m.to] = true
 	case Relay:
-		r.queue = append(r.queue, message{to: hostOf(action.To), packet: m.packet})
+		r.queue = append(r.queue, message{to: hostIndex(action.To), packet: m.packet})
 	}
 	if !action.PointerRecipient.IsZero() {
-		m := message{to: hostOf(action.PointerRecipient), tell: &action.Owner}
-		if !slices.ContainsFunc(r.queue, func(o message) bool { return o.tell != nil && o.to == m.to && *o.tell == *m.tell }) {
+		m := message{to: hostIndex(action.PointerRecipient), pointer: &action.Owner}
+		if !slices.ContainsFunc(r.queue, func(o message) bool { return o.pointer != nil && o.to == m.to && *o.pointer == *m.pointer }) {
 			r.queue = append(r.queue, m)
 		}
 	}
@@ -180,39 +182,39 @@
 	for i, a := range r.agents {
 		fmt.Fprint(&b, r.views[i], " ")
 		if e := a.shard(id).flows.find(id); e != nil {
-			fmt.Fprint(&b, e.owner, " bound ", a.ballots.ballot(e.bound), " to ", e.home)
+			fmt.Fprint(&b, e.owner, " promised ", a.ballots.ballot(e.promised), " to ", e.home)
 		}
 		b.WriteString("; ")
 	}
 	queue := make([]string, len(r.queue))
 	for i, m := range r.queue {
 		p := &m.packet
-		if m.tell != nil {
-			queue[i] = fmt.Sprint("tell ", m.to, " of ", hostOf(*m.tell))
+		if m.pointer != nil {
+			queue[i] = fmt.Sprint("pointer to ", m.to, " of ", hostIndex(*m.pointer))
 			continue
 		}
-		queue[i] = fmt.Sprint([]string{"search ", "ask ", "assign "}[p.Kind], m.to, " ", p.Ballot, " home ", p.Home.Addr,
-			" rival ", p.SupersededHome.Addr, " priors ", p.EarlierPicks[0].Addr, p.EarlierPicks[1].Addr,
-			" answer ", p.PointerRequested, " denied ", p.NonOwners[:p.NonOwnerCount])
+		queue[i] = fmt.Sprint([]string{"search ", "query ", "assign "}[p.Kind], m.to, " ", p.Ballot, " home ", p.Home.Addr,
+			" superseded ", p.SupersededHome.Addr, " earlier ", p.EarlierPicks[0].Addr, p.EarlierPicks[1].Addr,
+			" pointer requested ", p.PointerRequested, " non-owners ", p.NonOwners[:p.NonOwnerCount])
 	}
 	slices.Sort(queue)
 	fmt.Fprint(&b, strings.Join(queue, " | "), " lost ", r.lost, r.owners)
 	return b.String()
 }
 
-// settles sends one more packet by every view, and reports whether all are
-// delivered by one agent.
+// settles sends the initial packets once more, and reports whether one agent
+// delivers all of them.
 func (r *run) settles() bool {
-	for _, m := range r.model.sent {
+	for _, m := range r.model.initial {
 		r.queue = append(r.queue, m)
-		for messages := 0; len(r.queue) > 0 && messages < settleMessages; messages++ {
-			r.receive(r.take(0))
+		for messages := 0; len(r.queue) > 0 && messages < maxSettleMessages; messages++ {
+			r.receive(r.removeMessage(0))
 		}
 	}
 	return len(r.owners) == 1 && len(r.queue) == 0
 }
 
-// clone copies r, so that steps of one do not show in the other.
+// clone returns a deep copy of r.
 func (r *run) clone() *run {
 	c := *r
 	c.queue, c.owners = slices.Clone(r.queue), maps.Clone(r.owners)
@@ -227,22 +229,22 @@
 	c.service.Store(a.service.Load())
 	c.current.Store(a.current.Load())
 	c.addresses.Store(a.addresses.Load())
-	if b := a.balance.Load(); b != nil {
-		n := &balance{view: b.view, under: b.under}
+	if b := a.rebalance.Load(); b != nil {
+		n := &rebalancePlan{view: b.view, underloaded: b.underloaded}
 		n.quota.Store(b.quota.Load())
-		c.balance.Store(n)
+		c.rebalance.Store(n)
 	}
-	c.peers.slots, c.peers.bySeed, c.peers.silence = slices.Clone(a.peers.slots), a.peers.bySeed, a.peers.silence
+	c.peers.slots, c.peers.bySeed, c.peers.unresponsive = slices.Clone(a.peers.slots), a.peers.bySeed, a.peers.unresponsive
 	c.ballots.list, c.ballots.numbers = slices.Clone(a.ballots.list), maps.Clone(a.ballots.numbers)
 	from, to := a.shard(tupleOf(1).ID()), c.shard(tupleOf(1).ID())
 	to.flows = table{entries: slices.Clone(from.flows.entries), count: from.flows.count}
 	return c
 }
 
-// explore visits every reachable state and returns the number of them and the
-// first sequence of choices after which the flow is delivered at two agents, or
-// at none.
-func (m *model) explore() (states int, bad []int) {
+// explore visits every reachable state. It returns the number of states and the
+// first sequence of choices after which two agents have delivered the flow or none
+// delivers it.
+func (m *model) explore() (states int, counterexample []int) {
 	m.forward()
 	seen := map[string]bool{}
 	var visit func(from *run, path []int) []int
@@ -267,8 +269,8 @@
 		}
 		return nil
 	}
-	bad = visit(m.start(), nil)
-	return len(seen), bad
+	counterexample = visit(m.start(), nil)
+	return len(seen), counterexample
 }
 
 // trace logs the states along a sequence of choices.
@@ -281,41 +283,42 @@
 	t.Log(r.state())
 }
 
-// TestNoDoublePlacement visits every order of arrivals, view adoptions and
-// losses in the smallest cases where two agents might take one flow.
-func TestNoDoublePlacement(t *testing.T) {
-	two, three, back := chain(0, 1), chain(0, 1, 2), chain(0, 1, 0)
+// TestFlowHasOneOwnerInEveryInterleaving visits every order of deliveries, view
+// adoptions and losses in the smallest configurations in which two agents could
+// acquire the same flow.
+func TestFlowHasOneOwnerInEveryInterleaving(t *testing.T) {
+	two, three, back := singlePickViews(0, 1), singlePickViews(0, 1, 2), singlePickViews(0, 1, 0)
 	models := []model{
-		{name: "two views", views: two, packets: []source{{0, -1}, {1, 0}}, lose: 1},
-		{name: "two views, new balancers", views: two, packets: []source{{0, -1}, {1, -1}, {1, -1}}},
-		{name: "agents ahead of balancers", views: two, agents: [3]int{1, 1, 1}, packets: []source{{0, -1}, {0, -1}, {1, -1}}, lose: 1},
-		{name: "old pick ahead", views: two, agents: [3]int{1, 0, 0}, packets: []source{{0, -1}, {1, -1}}, lose: 1},
-		{name: "new pick ahead", views: two, agents: [3]int{0, 1, 0}, packets: []source{{0, -1}, {1, -1}, {0, -1}}},
-		{name: "balancer two views ahead", views: three, packets: []source{{0, -1}, {2, 0}}, lose: 1},
-		{name: "three views", views: three, packets: []source{{0, -1}, {1, -1}, {2, -1}}},
-		{name: "there and back", views: back, packets: []source{{1, 0}, {2, 1}}, lose: 1},
-		{name: "there and back, skipped", views: back, packets: []source{{0, -1}, {1, 0}, {2, 0}}},
-		{name: "placed for balance", views: two, packets: []source{{0, -1}, {1, 0}}, divert: true, lose: 1},
-		{name: "placed for balance, three views", views: three, packets: []source{{0, -1}, {2, 0}}, divert: true},
-		{name: "placed for balance twice", views: two, packets: []source{{0, -1}, {0, -1}, {1, -1}}, divert: true},
+		{name: "two views", views: two, packets: []forwardedPacket{{0, -1}, {1, 0}}, maxLost: 1},
+		{name: "two views, new balancers", views: two, packets: []forwardedPacket{{0, -1}, {1, -1}, {1, -1}}},
+		{name: "agents have a newer view than balancers", views: two, agents: [3]int{1, 1, 1}, packets: []forwardedPacket{{0, -1}, {0, -1}, {1, -1}}, maxLost: 1},
+		{name: "old pick has the newer view", views: two, agents: [3]int{1, 0, 0}, packets: []forwardedPacket{{0, -1}, {1, -1}}, maxLost: 1},
+		{name: "new pick has the newer view", views: two, agents: [3]int{0, 1, 0}, packets: []forwardedPacket{{0, -1}, {1, -1}, {0, -1}}},
+		{name: "balancer is two views ahead", views: three, packets: []forwardedPacket{{0, -1}, {2, 0}}, maxLost: 1},
+		{name: "three views", views: three, packets: []forwardedPacket{{0, -1}, {1, -1}, {2, -1}}},
+		{name: "pick changes and reverts", views: back, packets: []forwardedPacket{{1, 0}, {2, 1}}, maxLost: 1},
+		{name: "pick changes and reverts, view skipped", views: back, packets: []forwardedPacket{{0, -1}, {1, 0}, {2, 0}}},
+		{name: "diverted", views: two, packets: []forwardedPacket{{0, -1}, {1, 0}}, divert: true, maxLost: 1},
+		{name: "diverted, three views", views: three, packets: []forwardedPacket{{0, -1}, {2, 0}}, divert: true},
+		{name: "diverted, two packets", views: two, packets: []forwardedPacket{{0, -1}, {0, -1}, {1, -1}}, divert: true},
 	}
 	for _, m := range models {
 		t.Run(m.name, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			states, bad := m.explore()
+			states, counterexample := m.explore()
 			t.Logf("%d states", states)
-			if bad != nil {
-				m.trace(t, bad)
+			if counterexample != nil {
+				m.trace(t, counterexample)
 			}
-			is.Equal(bad, []int(nil)) // choices that deliver one flow at two agents
+			is.Equal(counterexample, []int(nil)) // choices after which two agents or none deliver the flow
 		})
 	}
 }
 
-func TestChainPicks(t *testing.T) {
+func TestSinglePickViews(t *testing.T) {
 	is := is.New(t)
-	for i, v := range chain(0, 1, 2) {
+	for i, v := range singlePickViews(0, 1, 2) {
 		is.Equal(placement.Pick(tupleOf(1).Key(), v), i)
 	}
 }
--- a/core/flow/key.go
+++ b/core/flow/key.go
@@ -1,11 +1,11 @@
-// Package flow decides where packets go: the balancer's choice of agent and the
+// Package flow decides where packets go: a balancer's choice of agent, and an
 // agent's choice between delivering a packet and relaying it.
 //
-// The agent that delivers a flow's packets owns the flow, and is the only
-// authority on it. A flow without an owner is taken by the agent that the newest
-// view places it on, after the agents that earlier views place it on have
-// promised not to; see Ballot. Other agents hold pointers to the owner, which
-// save the search for it.
+// The agent that delivers a flow's packets owns the flow and is the only authority
+// on it. A flow without an owner is acquired by the agent that the newest view
+// places it on, after the agents that earlier views place it on have promised not
+// to acquire it; see Ballot. Other agents store pointers to the owner, which avoid
+// a search for it.
 package flow
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Tuple identifies a flow: the caller's address and the service address.
+// Tuple identifies a flow by the caller's address and the service address.
 type Tuple struct {
 	Caller  netip.AddrPort
 	Service netip.AddrPort
@@ -23,28 +23,28 @@
 
 // ID identifies a flow in tables and pointers.
 type ID struct {
-	// Key places the flow.
+	// Key is the hash by which the flow is placed.
 	Key uint64 `cbor:"1,keyasint"`
-	// Check tells flows with equal keys apart.
+	// Check is a second hash that distinguishes flows with equal keys.
 	Check uint64 `cbor:"2,keyasint"`
 }
 
 const tupleSize = 36 // bytes
 
-// Key hashes the tuple. Every process computes the same key for one flow.
+// Key returns the hash of the tuple. It is the same in every process.
 func (t Tuple) Key() uint64 {
 	b := t.bytes()
 	return xxhash.Sum64(b[:tupleSize])
 }
 
-// ID returns the identity of the tuple's flow.
+// ID returns the identifier of the tuple's flow.
 func (t Tuple) ID() ID {
 	b := t.bytes()
 	return ID{Key: xxhash.Sum64(b[:tupleSize]), Check: xxhash.Sum64(b[:])}
 }
 
-// bytes returns the tuple and one byte more, which makes the check's input
-// differ from the key's.
+// bytes encodes the tuple, followed by one byte that makes the input of Check
+// differ from that of Key.
 func (t Tuple) bytes() (b [tupleSize + 1]byte) {
 	caller, service := t.Caller.Addr().As16(), t.Service.Addr().As16()
 	copy(b[0:16], caller[:])
--- a/core/flow/packet.go
+++ b/core/flow/packet.go
@@ -6,7 +6,7 @@
 	"fulmarmount.org/core/view"
 )
 
-// Peer names one run of an agent and where it takes packets.
+// Peer identifies one run of an agent and its address for packets.
 type Peer struct {
 	// Seed is the hash seed of the backend server's ID.
 	Seed        uint64           `cbor:"1,keyasint"`
@@ -14,39 +14,41 @@
 	Addr        netip.AddrPort   `cbor:"3,keyasint"`
 }
 
-// IsZero reports whether p names no agent.
+// IsZero reports whether p identifies no agent.
 func (p Peer) IsZero() bool { return p == Peer{} }
 
-// PeerOf returns the agent beside member i of v.
+// PeerOf returns the agent of member i of v.
 func PeerOf(v *view.View, i int) Peer {
 	m := &v.Members[i]
 	return Peer{Seed: v.Seed(i), Incarnation: m.Incarnation, Addr: m.Packets}
 }
 
-// PacketKind tells what the receiver of a packet is asked to do.
+// PacketKind is the operation that a packet requests from its receiver.
 type PacketKind uint8
 
 // The kinds of packet.
 const (
-	// Search makes the receiver the flow's home: it finds the owner, or takes
-	// the flow. Balancers send it, and so do agents that deny owning a flow.
+	// Search makes the receiver the flow's home: it finds the owner, or acquires
+	// the flow. It is sent by balancers, and by agents that return a flow that
+	// they do not own to its home.
 	Search PacketKind = iota
-	// Query is delivered by the flow's owner. Another receiver denies it, back to
-	// the home that asked.
+	// Query is delivered by the flow's owner. Any other receiver forwards it along
+	// its pointer, or returns it to the home as a Search.
 	Query
-	// Assign lends the ballot to the receiver, on which home has placed the flow.
+	// Assign delegates the ballot to the receiver, on which the home places the flow.
 	Assign
 
-	kinds
+	kindCount
 )
 
-// MaxEarlierPicks is the number of earlier picks that a balancer names at most.
+// MaxEarlierPicks is the maximum number of earlier picks in one packet.
 const MaxEarlierPicks = 4
 
-// EarlierPicks are earlier picks, followed by zero values.
+// EarlierPicks are the agents that earlier views placed a flow on, followed by
+// zero values.
 type EarlierPicks [MaxEarlierPicks]Peer
 
-// add appends a peer unless p holds it, and reports false if there is no room.
+// add appends a peer unless p contains its agent, and returns false if p is full.
 func (p *EarlierPicks) add(peer Peer) bool {
 	for i := range p {
 		if p[i].Seed == peer.Seed {
@@ -60,49 +62,52 @@
 	return false
 }
 
-// MaxNonOwners is the number of denials that one packet carries at most.
+// MaxNonOwners is the maximum number of non-owners in one packet.
 const MaxNonOwners = 7
 
 // Packet is the envelope of one caller datagram between processes.
 type Packet struct {
 	Kind    PacketKind
 	Service view.ServiceID
-	// Ballot is the one whose home the receiver or, for an Ask, Home is.
+	// Ballot is the ballot whose home is the receiver or, for a Query, the agent
+	// in Home.
 	Ballot Ballot
 	Tuple  Tuple
-	// TargetIncarnation is the run of the agent that the packet is meant for.
+	// TargetIncarnation is the run of the receiving agent that the packet is meant for.
 	TargetIncarnation view.Incarnation
-	// EarlierPicks are the agents that earlier views placed the flow on, the newest
-	// first; zero where there are fewer. Those in Denied may be left out.
+	// EarlierPicks are the agents that earlier views placed the flow on, newest
+	// first. Agents in NonOwners may be omitted.
 	EarlierPicks EarlierPicks
-	// EarlierPicksComplete tells that Priors holds the homes of all earlier ballots that the
-	// view of Ballot knows of. A home whose own view is older takes no flow
-	// otherwise.
+	// EarlierPicksComplete is set if EarlierPicks contains the homes of all
+	// earlier ballots that the view of Ballot lists. Otherwise a home whose own
+	// view is older does not acquire the flow.
 	EarlierPicksComplete bool
-	// Home is the agent that searches for the owner; set on Ask and Assign.
+	// Home is the agent that searches for the owner; set on Query and Assign.
 	Home Peer
-	// SupersededHome is a home that a newer ballot has overruled and that is to promise,
-	// or zero.
+	// SupersededHome is a home whose search was redirected to the home of a newer
+	// ballot and whose promise is still required, or zero.
 	SupersededHome Peer
-	// PointerRequested is set on an Ask if the owner is to tell the home about itself.
+	// PointerRequested is set on a Query if the owner, or an agent with a pointer
+	// to it, sends the home a pointer.
 	PointerRequested bool
-	// NonOwners[:Denials] are the seeds of agents that do not own the flow and have
-	// promised not to take it under a ballot older than Ballot.
+	// NonOwners[:NonOwnerCount] are the seeds of agents that do not own the flow
+	// and have promised not to acquire it under a ballot older than Ballot.
 	NonOwners     [MaxNonOwners]uint64
 	NonOwnerCount uint8
-	// Hops counts the agents that have relayed the packet.
+	// Hops is the number of times that agents have relayed the packet.
 	Hops uint8
 }
 
-// raise replaces the ballot by a newer one, for which no agent has promised yet.
-func (p *Packet) raise(b Ballot) {
+// raiseBallot replaces the ballot by a newer one, for which no agent has promised
+// yet. It does nothing if b is not newer.
+func (p *Packet) raiseBallot(b Ballot) {
 	if !b.Newer(p.Ballot) {
 		return
 	}
 	p.Ballot, p.NonOwnerCount, p.EarlierPicksComplete = b, 0, false
 }
 
-// IsNonOwner reports whether the agent of a seed is among Denied.
+// IsNonOwner reports whether the agent with the given seed is in NonOwners.
 func (p *Packet) IsNonOwner(seed uint64) bool {
 	for _, d := range p.NonOwners[:p.NonOwnerCount] {
 		if d == seed {
@@ -112,30 +117,30 @@
 	return false
 }
 
-func (p *Packet) deny(seed uint64) {
+func (p *Packet) addNonOwner(seed uint64) {
 	if p.NonOwnerCount < MaxNonOwners && !p.IsNonOwner(seed) {
 		p.NonOwners[p.NonOwnerCount] = seed
 		p.NonOwnerCount++
 	}
 }
 
-// Verdict is what an agent does with a packet.
+// Verdict is an agent's decision on a packet.
 type Verdict uint8
 
-// The verdicts.
+// The verdicts of an agent.
 const (
-	// Deliver hands the datagram to the backend server.
+	// Deliver passes the datagram to the backend server.
 	Deliver Verdict = iota
 	// Relay sends the packet, as Receive has rewritten it, to Action.To.
 	Relay
-	// Drop drops the packet for Action.Reason.
+	// Drop discards the packet for Action.Reason.
 	Drop
 )
 
-// DropReason tells why a packet was dropped.
+// DropReason is the reason why a packet was dropped.
 type DropReason uint8
 
-// The reasons of balancers and agents.
+// The drop reasons of balancers and agents.
 const (
 	NoReason         DropReason = iota
 	UnknownAddress              // no service has the destination address
@@ -143,35 +148,35 @@
 	NoTarget                    // no backend server takes new flows
 	WrongService                // the packet is for another service
 	WrongIncarnation            // the packet is for another run of the agent
-	WrongAddress                // the service no longer has the destination address
-	HopLimit                    // relayed too often
-	Malformed                   // a kind or field outside its range
-	reasons                     // the number of reasons
+	WrongAddress                // the service does not have the destination address any more
+	HopLimit                    // relayed too many times
+	Malformed                   // kind or field out of range
+	reasonCount
 )
 
-var reasonNames = [reasons]string{
+var reasonNames = [reasonCount]string{
 	"none", "unknown address", "no view", "no target", "wrong service",
 	"wrong incarnation", "wrong address", "hop limit", "malformed",
 }
 
 // String returns the reason in lower-case words.
 func (r DropReason) String() string {
-	if r < reasons {
+	if r < reasonCount {
 		return reasonNames[r]
 	}
 	return "unknown reason"
 }
 
-// Action is an agent's decision about one packet.
+// Action is an agent's decision on one packet.
 type Action struct {
 	Verdict Verdict
-	// Reason is set with Refuse.
+	// Reason is set with Drop.
 	Reason DropReason
-	// BecameOwner is set with Deliver if the agent has just taken the flow.
+	// BecameOwner is set with Deliver if the agent acquired the flow with this packet.
 	BecameOwner bool
-	// To is the receiver of a Relay.
+	// To is the next receiver; set with Relay.
 	To Peer
-	// PointerRecipient, unless zero, is an agent that is to be sent a pointer to Owner.
+	// PointerRecipient, unless zero, is the agent to send a pointer to Owner to.
 	PointerRecipient Peer
 	Owner            Peer
 }
--- a/core/flow/peers.go
+++ b/core/flow/peers.go
@@ -5,30 +5,32 @@
 	"time"
 )
 
-// peers numbers the agents of a service and notes which of them no longer
-// answer. One slot per backend server holds its latest run.
-type peers struct {
-	mu      sync.RWMutex
-	slots   []peerState
-	bySeed  map[uint64]uint32
-	silence silenceRule
+// peerTable numbers the agents of a service and tracks which of them are
+// unresponsive. It has one slot per backend server, with the latest run of its
+// agent.
+type peerTable struct {
+	mu           sync.RWMutex
+	slots        []peerState
+	bySeed       map[uint64]uint32
+	unresponsive unresponsiveRule
 }
 
-// silenceRule says when an agent that does not answer is passed over.
-type silenceRule struct {
-	asks  int           // unanswered in a row, at least
-	after time.Duration // since the first of them
+// unresponsiveRule defines when an agent counts as unresponsive.
+type unresponsiveRule struct {
+	minQueries int           // minimum number of consecutive unanswered queries
+	minElapsed time.Duration // minimum time since the first of them
 }
 
 type peerState struct {
-	peer       Peer
-	unanswered int
-	since      time.Duration // of the first unanswered ask
-	retry      time.Duration // when a silent agent is asked again
+	peer              Peer
+	unansweredQueries int
+	firstUnansweredAt time.Duration
+	retryAt           time.Duration // time from which an unresponsive agent is queried again
 }
 
-// slot returns the slot of p, and adopts p's run and address if newer.
-func (s *peers) slot(p Peer) uint32 {
+// upsert returns the slot of p's agent, and stores p in it if the slot is new or
+// p is a newer run.
+func (s *peerTable) upsert(p Peer) uint32 {
 	s.mu.RLock()
 	i, ok := s.bySeed[p.Seed]
 	current := ok && s.slots[i].peer == p
@@ -51,46 +53,46 @@
 	return i
 }
 
-func (s *peers) peer(slot uint32) Peer {
+func (s *peerTable) peer(slot uint32) Peer {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.slots[slot].peer
 }
 
-// latest returns the newest known run of p's agent.
-func (s *peers) latest(p Peer) Peer { return s.peer(s.slot(p)) }
+// latestRun returns the newest known run of p's agent.
+func (s *peerTable) latestRun(p Peer) Peer { return s.peer(s.upsert(p)) }
 
-// asked notes a question to an agent that it should answer.
-func (s *peers) asked(slot uint32, now time.Duration) {
+// recordQuery records a query to an agent that requires an answer.
+func (s *peerTable) recordQuery(slot uint32, now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := &s.slots[slot]
-	if p.unanswered == 0 {
-		p.since = now
+	if p.unansweredQueries == 0 {
+		p.firstUnansweredAt = now
 	}
-	p.unanswered++
-	p.retry = now + s.silence.after
+	p.unansweredQueries++
+	p.retryAt = now + s.unresponsive.minElapsed
 }
 
-// heard notes a sign of life of an agent.
-func (s *peers) heard(seed uint64) {
+// markResponsive resets the unanswered queries of an agent.
+func (s *peerTable) markResponsive(seed uint64) {
 	s.mu.RLock()
 	i, ok := s.bySeed[seed]
-	quiet := ok && s.slots[i].unanswered > 0
+	hasUnanswered := ok && s.slots[i].unansweredQueries > 0
 	s.mu.RUnlock()
-	if !quiet {
+	if !hasUnanswered {
 		return
 	}
 	s.mu.Lock()
-	s.slots[i].unanswered = 0
+	s.slots[i].unansweredQueries = 0
 	s.mu.Unlock()
 }
 
-// silent reports whether an agent is to be passed over. From time to time it
-// reports false about a silent agent, so that a healed path is noticed.
-func (s *peers) silent(slot uint32, now time.Duration) bool {
+// isUnresponsive reports whether an agent counts as unresponsive. It returns false
+// again at retryAt, so that a restored path to the agent is noticed.
+func (s *peerTable) isUnresponsive(slot uint32, now time.Duration) bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	p := &s.slots[slot]
-	return p.unanswered >= s.silence.asks && now-p.since >= s.silence.after && now < p.retry
+	return p.unansweredQueries >= s.unresponsive.minQueries && now-p.firstUnansweredAt >= s.unresponsive.minElapsed && now < p.retryAt
 }
--- a/core/flow/picker.go
+++ b/core/flow/picker.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// cacheAbove is the number of targets above which picks are remembered.
-	cacheAbove = 64
-	cacheBits  = 14
-	cacheMask  = 1<<cacheBits - 1
+	// cacheThreshold is the number of targets above which picks are cached.
+	cacheThreshold = 64
+	cacheBits      = 14
+	cacheMask      = 1<<cacheBits - 1
 )
 
-// picker places keys on the targets of one version of a view. For many it remembers the last pick of
-// each cache slot; losing the cache only costs time.
+// picker places keys on the targets of one version of a view. With many targets
+// it caches the last pick of each cache slot. The cache affects the speed only.
 type picker struct {
 	view    *view.View
 	targets []view.Target
@@ -24,7 +24,7 @@
 
 func newPicker(v *view.View, targets []view.Target) *picker {
 	p := &picker{view: v, targets: targets}
-	if len(targets) > cacheAbove && len(v.Members) < cacheMask {
+	if len(targets) > cacheThreshold && len(v.Members) < cacheMask {
 		p.cache = new([1 << cacheBits]atomic.Uint64)
 	}
 	return p
--- a/core/flow/returnpath.go
+++ b/core/flow/returnpath.go
@@ -10,93 +10,96 @@
 )
 
 const (
-	// returnQuiet is how long a flow may have carried nothing from the caller
-	// before its replies no longer trust the balancer that last carried it.
-	returnQuiet = 200 * time.Millisecond
-	// heardLimit is how long a balancer counts as live after it was heard.
-	heardLimit = 10 * time.Second
+	// callerIdleLimit is the time since the last packet of the caller after which
+	// replies of the flow are no longer pinned to the balancer that carried it.
+	callerIdleLimit = 200 * time.Millisecond
+	// livenessTimeout is the time since the last packet of a balancer after which
+	// the balancer no longer counts as live.
+	livenessTimeout = 10 * time.Second
 )
 
-// ReturnPaths chooses the balancer that a reply goes through. Every balancer
-// serves every caller, so a flow whose own balancer may be dead can use any
-// other; and it must, since a caller that only receives sends nothing that
-// would name a live one. It is safe for concurrent use.
+// ReturnPaths chooses the balancer that a reply is sent through. Every balancer
+// serves every caller, so the replies of a flow can use any other balancer if the
+// flow's own may have failed. They must do so, because a caller that only receives
+// sends no packets that would reveal a live balancer. ReturnPaths is safe for
+// concurrent use.
 type ReturnPaths struct {
-	mu     sync.Mutex
-	listed []netip.AddrPort
-	paths  atomic.Pointer[paths]
-	turn   atomic.Uint64
+	mu        sync.Mutex
+	reported  []netip.AddrPort
+	current   atomic.Pointer[balancerSet]
+	nextIndex atomic.Uint64
 }
 
-// paths is one state of what is known. Only the times in heard change.
-type paths struct {
-	heard map[netip.AddrPort]*atomic.Int64 // Unix time in nanoseconds
-	live  []netip.AddrPort
+// balancerSet is an immutable snapshot of the known balancers. Only the times in
+// lastSeen change.
+type balancerSet struct {
+	lastSeen map[netip.AddrPort]*atomic.Int64 // Unix time in nanoseconds
+	live     []netip.AddrPort
 }
 
-// NewReturnPaths returns ReturnPaths that know no balancer.
+// NewReturnPaths returns a ReturnPaths without balancers.
 func NewReturnPaths() *ReturnPaths {
 	r := &ReturnPaths{}
-	r.paths.Store(&paths{})
+	r.current.Store(&balancerSet{})
 	return r
 }
 
-// MarkSeen notes that a balancer sent something.
+// MarkSeen records that a packet of a balancer was received.
 func (r *ReturnPaths) MarkSeen(balancer netip.AddrPort, now time.Time) {
-	if at := r.paths.Load().heard[balancer]; at != nil {
+	if at := r.current.Load().lastSeen[balancer]; at != nil {
 		at.Store(now.UnixNano())
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	heard := maps.Clone(r.paths.Load().heard)
-	if heard == nil {
-		heard = make(map[netip.AddrPort]*atomic.Int64)
+	lastSeen := maps.Clone(r.current.Load().lastSeen)
+	if lastSeen == nil {
+		lastSeen = make(map[netip.AddrPort]*atomic.Int64)
 	}
 	at := &atomic.Int64{}
 	at.Store(now.UnixNano())
-	heard[balancer] = at
-	r.publish(heard)
+	lastSeen[balancer] = at
+	r.publish(lastSeen)
 }
 
-// SetBalancers replaces the balancers that control reports as live.
+// SetBalancers replaces the balancers that the control role reports as live.
 func (r *ReturnPaths) SetBalancers(balancers []netip.AddrPort) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.listed = slices.Clone(balancers)
-	r.publish(r.paths.Load().heard)
+	r.reported = slices.Clone(balancers)
+	r.publish(r.current.Load().lastSeen)
 }
 
-// Expire forgets the balancers that were not heard for a while. Those that
-// control reports stay.
+// Expire removes the balancers without a packet in the last livenessTimeout. Those
+// that the control role reports as live remain candidates.
 func (r *ReturnPaths) Expire(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	heard := maps.Clone(r.paths.Load().heard)
-	limit := now.Add(-heardLimit).UnixNano()
-	maps.DeleteFunc(heard, func(_ netip.AddrPort, at *atomic.Int64) bool { return at.Load() < limit })
-	if len(heard) != len(r.paths.Load().heard) {
-		r.publish(heard)
+	lastSeen := maps.Clone(r.current.Load().lastSeen)
+	limit := now.Add(-livenessTimeout).UnixNano()
+	maps.DeleteFunc(lastSeen, func(_ netip.AddrPort, at *atomic.Int64) bool { return at.Load() < limit })
+	if len(lastSeen) != len(r.current.Load().lastSeen) {
+		r.publish(lastSeen)
 	}
 }
 
-// publish puts a new state in force. The caller holds the lock.
-func (r *ReturnPaths) publish(heard map[netip.AddrPort]*atomic.Int64) {
-	live := slices.AppendSeq(slices.Clone(r.listed), maps.Keys(heard))
+// publish activates a new set of balancers. The caller holds r.mu.
+func (r *ReturnPaths) publish(lastSeen map[netip.AddrPort]*atomic.Int64) {
+	live := slices.AppendSeq(slices.Clone(r.reported), maps.Keys(lastSeen))
 	slices.SortFunc(live, netip.AddrPort.Compare)
-	r.paths.Store(&paths{heard: heard, live: slices.Compact(live)})
+	r.current.Store(&balancerSet{lastSeen: lastSeen, live: slices.Compact(live)})
 }
 
-// Choose returns the balancer for one reply of a flow that balancer last
-// carried, at the time inbound. While the caller is heard, that is the
-// same balancer; afterwards replies take turns over all that may be live.
+// Choose returns the balancer for one reply of a flow whose last packet was
+// carried by balancer at the time inbound. While the caller is active that is the
+// same balancer; afterwards replies rotate over all balancers that may be live.
 func (r *ReturnPaths) Choose(balancer netip.AddrPort, inbound, now time.Time) netip.AddrPort {
-	if now.Sub(inbound) < returnQuiet {
+	if now.Sub(inbound) < callerIdleLimit {
 		return balancer
 	}
-	live := r.paths.Load().live
+	live := r.current.Load().live
 	if len(live) == 0 {
 		return balancer
 	}
-	return live[r.turn.Add(1)%uint64(len(live))]
+	return live[r.nextIndex.Add(1)%uint64(len(live))]
 }
--- a/core/flow/returnpath_test.go
+++ b/core/flow/returnpath_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-func TestRepliesLeaveABalancerThatMayBeDead(t *testing.T) {
+func TestRepliesAvoidPossiblyDeadBalancer(t *testing.T) {
 	first := netip.MustParseAddrPort("127.0.0.1:1")
 	second := netip.MustParseAddrPort("127.0.0.2:1")
 	start := time.Unix(100, 0)
@@ -17,13 +17,13 @@
 		quiet  time.Duration // since the caller's last packet
 		heard  []netip.AddrPort
 		listed []netip.AddrPort
-		want   []netip.AddrPort // that carry two replies in a row, in any order
+		want   []netip.AddrPort // for two consecutive replies, sorted
 	}{
-		{"caller just heard", returnQuiet / 2, []netip.AddrPort{first, second}, nil, []netip.AddrPort{first, first}},
-		{"caller quiet", returnQuiet, []netip.AddrPort{first, second}, nil, []netip.AddrPort{first, second}},
-		{"other known from control alone", returnQuiet, []netip.AddrPort{first}, []netip.AddrPort{second}, []netip.AddrPort{first, second}},
-		{"long quiet, control names the live one", 2 * heardLimit, []netip.AddrPort{first}, []netip.AddrPort{second}, []netip.AddrPort{second, second}},
-		{"nothing else known", 2 * heardLimit, []netip.AddrPort{first}, nil, []netip.AddrPort{first, first}},
+		{"caller active", callerIdleLimit / 2, []netip.AddrPort{first, second}, nil, []netip.AddrPort{first, first}},
+		{"caller idle", callerIdleLimit, []netip.AddrPort{first, second}, nil, []netip.AddrPort{first, second}},
+		{"other balancer reported by control only", callerIdleLimit, []netip.AddrPort{first}, []netip.AddrPort{second}, []netip.AddrPort{first, second}},
+		{"balancer expired, control reports the live one", 2 * livenessTimeout, []netip.AddrPort{first}, []netip.AddrPort{second}, []netip.AddrPort{second, second}},
+		{"no other balancer known", 2 * livenessTimeout, []netip.AddrPort{first}, nil, []netip.AddrPort{first, first}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/core/flow/search.go
+++ b/core/flow/search.go
@@ -7,7 +7,8 @@
 	"fulmarmount.org/core/view"
 )
 
-// request is one packet under decision. The shard's lock is held.
+// request is a packet for which a decision is being made. The lock of its shard is
+// held.
 type request struct {
 	agent  *Agent
 	shard  *shard
@@ -16,99 +17,99 @@
 	id     ID
 }
 
-// search decides as the flow's home: deliver, send the packet where the flow
-// has gone, collect the promises of earlier homes, or take the flow.
+// search processes the packet as the flow's home. It delivers the packet, sends it
+// towards the owner, collects the promises of earlier homes, or acquires the flow.
 func (r *request) search() Action {
 	e := r.shard.flows.find(r.id)
-	if e != nil && e.owned() {
+	if e != nil && e.isOwned() {
 		return r.deliver(e)
 	}
 	if e != nil && e.home == homeSelf {
-		r.packet.raise(r.agent.ballots.ballot(e.bound))
+		r.packet.raiseBallot(r.agent.ballots.ballot(e.promised))
 	}
 	current := r.agent.current.Load()
-	successor, superseded := r.superseded(current)
+	successor, superseded := r.newerPick(current)
 	if e != nil {
-		if action, ok := r.follow(e); ok {
+		if action, ok := r.followEntry(e); ok {
 			return action
 		}
 	}
 	if superseded {
 		if successor.IsZero() {
-			return r.agent.refuse(NoTarget)
+			return r.agent.drop(NoTarget)
 		}
-		return r.handOverToPick(successor, current)
+		return r.promiseAndSearchPick(successor, current)
 	}
-	if earlier, ok := r.nextEarlier(current); ok {
-		return r.ask(earlier, true)
+	if earlier, ok := r.nextEarlierHome(current); ok {
+		return r.query(earlier, true)
 	}
 	if !r.packet.EarlierPicksComplete && (current == nil || r.packet.Ballot.Version.Newer(current.view.Version)) {
-		return r.agent.refuse(NoView)
+		return r.agent.drop(NoView)
 	}
 	if current != nil && current.view.Resting() && !r.packet.Ballot.Version.Newer(current.view.Version) {
-		return r.agent.refuse(NoTarget)
+		return r.agent.drop(NoTarget)
 	}
 	if other, ok := r.divert(current); ok {
 		return r.assign(other)
 	}
-	return r.take()
+	return r.acquire()
 }
 
-// superseded reports whether the view in force is newer than the packet's
-// ballot and places the flow on another agent, which it returns, or on none. If
-// it places the flow here, the ballot is raised.
-func (r *request) superseded(current *adopted) (Peer, bool) {
+// newerPick returns the pick of the active view, which may be zero, and true if
+// that view is newer than the packet's ballot and does not place the flow on this
+// agent. If it places the flow on this agent, newerPick raises the ballot.
+func (r *request) newerPick(current *adoptedView) (Peer, bool) {
 	if current == nil || !current.view.Version.Newer(r.packet.Ballot.Version) {
 		return Peer{}, false
 	}
-	pick, ok := pickOf(r.id.Key, current.view)
+	pick, ok := pickPeer(r.id.Key, current.view)
 	if ok && pick.Seed == r.agent.options.Self.Seed {
-		r.packet.raise(Ballot{Version: current.view.Version})
+		r.packet.raiseBallot(Ballot{Version: current.view.Version})
 		return Peer{}, false
 	}
 	return pick, true
 }
 
-// follow sends the packet along e: to the home of a newer ballot that e is bound
-// to, by way of the agent that e points to, or else to that agent. It reports
-// false if e leads nowhere.
-func (r *request) follow(e *entry) (Action, bool) {
-	bound := r.agent.ballots.ballot(e.bound)
-	if !bound.Newer(r.packet.Ballot) {
-		return r.askOwner(e)
+// followEntry sends the packet along e: if e is bound to a newer ballot, to the
+// home of that ballot, through the owner that e points to if there is one;
+// otherwise to the owner. It returns false if e names no agent to send it to.
+func (r *request) followEntry(e *entry) (Action, bool) {
+	promised := r.agent.ballots.ballot(e.promised)
+	if !promised.Newer(r.packet.Ballot) {
+		return r.queryOwner(e)
 	}
 	slot := e.home - homePeer
 	home := r.agent.peers.peer(slot)
-	if r.agent.gone(home, slot, r.now) {
-		return r.askOwner(e)
+	if r.agent.isUnreachable(home, slot, r.now) {
+		return r.queryOwner(e)
 	}
-	r.packet.raise(bound)
+	r.packet.raiseBallot(promised)
 	r.packet.Kind = Query
 	r.packet.Home = home
 	r.packet.PointerRequested = true
-	if action, ok := r.passOn(home, e); ok {
+	if action, ok := r.forwardToOwner(home, e); ok {
 		return action, true
 	}
-	return r.handOver(home, bound), true
+	return r.promiseAndSearch(home, promised), true
 }
 
-// askOwner asks the agent that e points to, or voids the pointer if that agent
-// has denied the flow or is gone.
-func (r *request) askOwner(e *entry) (Action, bool) {
-	if !e.points() {
+// queryOwner queries the agent that e points to. It clears the pointer if that
+// agent is a non-owner of the flow or unreachable.
+func (r *request) queryOwner(e *entry) (Action, bool) {
+	if !e.isPointer() {
 		return Action{}, false
 	}
-	owner := r.agent.peers.peer(e.slot())
-	if r.packet.IsNonOwner(owner.Seed) || r.agent.gone(owner, e.slot(), r.now) {
+	owner := r.agent.peers.peer(e.ownerSlot())
+	if r.packet.IsNonOwner(owner.Seed) || r.agent.isUnreachable(owner, e.ownerSlot(), r.now) {
 		e.owner = ownerNone
 		return Action{}, false
 	}
-	e.seen = ticks(r.now)
-	return r.ask(owner, !r.agent.live(owner)), true
+	e.lastUsed = ticks(r.now)
+	return r.query(owner, !r.agent.isMember(owner)), true
 }
 
-// live reports whether the newest view holds the agent as a member.
-func (a *Agent) live(p Peer) bool {
+// isMember reports whether the agent is a member of the active view.
+func (a *Agent) isMember(p Peer) bool {
 	c := a.current.Load()
 	if c == nil {
 		return true
@@ -117,40 +118,40 @@
 	return i >= 0 && c.view.Members[i].State != view.Gone
 }
 
-// gone reports whether an agent is to be passed over: the newest view does not
-// hold it, and it does not answer either.
-func (a *Agent) gone(p Peer, slot uint32, now time.Duration) bool {
-	return !a.live(p) && a.peers.silent(slot, now)
+// isUnreachable reports whether an agent is to be skipped because it is not a
+// member of the active view and is unresponsive. A member is never skipped.
+func (a *Agent) isUnreachable(p Peer, slot uint32, now time.Duration) bool {
+	return !a.isMember(p) && a.peers.isUnresponsive(slot, now)
 }
 
-// nextEarlier returns the home of an earlier ballot that has not promised yet.
-func (r *request) nextEarlier(current *adopted) (Peer, bool) {
-	if p := r.packet.SupersededHome; !p.IsZero() && r.askable(p) {
-		return r.agent.peers.latest(p), true
+// nextEarlierHome returns the home of an earlier ballot that has not promised yet.
+func (r *request) nextEarlierHome(current *adoptedView) (Peer, bool) {
+	if p := r.packet.SupersededHome; !p.IsZero() && r.canQuery(p) {
+		return r.agent.peers.latestRun(p), true
 	}
 	for _, p := range r.packet.EarlierPicks {
-		if !p.IsZero() && r.askable(p) {
-			return r.agent.peers.latest(p), true
+		if !p.IsZero() && r.canQuery(p) {
+			return r.agent.peers.latestRun(p), true
 		}
 	}
 	if current == nil {
 		return Peer{}, false
 	}
 	if r.packet.Ballot.Version.Newer(current.view.Version) {
-		if p, ok := pickOf(r.id.Key, current.view); ok && r.askable(p) {
+		if p, ok := pickPeer(r.id.Key, current.view); ok && r.canQuery(p) {
 			return p, true
 		}
 	}
-	if r.now-current.at > r.agent.options.HistoryWindow {
+	if r.now-current.adoptedAt > r.agent.options.HistoryWindow {
 		return Peer{}, false
 	}
 	for i := range current.view.Earlier {
-		first, next := earlierPicks(r.id.Key, current.view, current.view.PastTargets(i))
-		for _, m := range [...]int{first, next} {
+		pick, substitute := pickAndSubstitute(r.id.Key, current.view, current.view.PastTargets(i))
+		for _, m := range [...]int{pick, substitute} {
 			if m == placement.None {
 				continue
 			}
-			if p := PeerOf(current.view, m); r.askable(p) {
+			if p := PeerOf(current.view, m); r.canQuery(p) {
 				return p, true
 			}
 		}
@@ -158,125 +159,130 @@
 	if current.previous == nil {
 		return Peer{}, false
 	}
-	if p, ok := pickOf(r.id.Key, current.previous); ok && r.askable(p) {
-		return r.agent.peers.latest(p), true
+	if p, ok := pickPeer(r.id.Key, current.previous); ok && r.canQuery(p) {
+		return r.agent.peers.latestRun(p), true
 	}
 	return Peer{}, false
 }
 
-// earlierPicks returns the member of v that the targets of an earlier version
-// place key on and, if that member has not stayed since, the one that held the
-// pointers in its stead; None where there is none.
-func earlierPicks(key uint64, v *view.View, targets []view.Target) (first, next int) {
-	first = placement.PickTarget(key, targets)
-	if first == placement.None || v.Members[first].Stays() {
-		return first, placement.None
-	}
-	return first, placement.PickStaying(key, v, targets)
+// pickAndSubstitute returns the member of v that the targets of an earlier version
+// place key on and, if that member has not stayed since, the member that stores
+// the pointers in its place; placement.None if there is none.
+func pickAndSubstitute(key uint64, v *view.View, targets []view.Target) (pick, substitute int) {
+	pick = placement.PickTarget(key, targets)
+	if pick == placement.None || v.Members[pick].Stays() {
+		return pick, placement.None
+	}
+	return pick, placement.PickStaying(key, v, targets)
 }
 
-func (r *request) askable(p Peer) bool {
+// canQuery reports whether p is another agent that is reachable and not known to
+// be a non-owner of the flow.
+func (r *request) canQuery(p Peer) bool {
 	if p.Seed == r.agent.options.Self.Seed || r.packet.IsNonOwner(p.Seed) {
 		return false
 	}
-	return !r.agent.gone(p, r.agent.peers.slot(p), r.now)
+	return !r.agent.isUnreachable(p, r.agent.peers.upsert(p), r.now)
 }
 
-// answer decides about another home's question: deliver, pass it on along a
-// pointer, hand the search to a newer ballot's home, or promise.
-func (r *request) answer() Action {
+// receiveQuery processes a query from another home: it delivers the packet,
+// forwards it along a pointer, redirects the search to the home of a newer ballot,
+// or promises and returns it.
+func (r *request) receiveQuery() Action {
 	home := r.packet.Home
 	e := r.shard.flows.find(r.id)
-	if e != nil && e.owned() {
-		return r.deliverFor(home, e)
+	if e != nil && e.isOwned() {
+		return r.deliverQuery(home, e)
 	}
 	if e != nil {
-		if action, ok := r.passOn(home, e); ok {
+		if action, ok := r.forwardToOwner(home, e); ok {
 			return action
 		}
-		if action, ok := r.overruleByBound(home, e); ok {
+		if action, ok := r.redirectByPromise(home, e); ok {
 			return action
 		}
 	}
-	if action, ok := r.overruleByView(home); ok {
+	if action, ok := r.redirectByView(home); ok {
 		return action
 	}
-	return r.handOver(home, r.packet.Ballot)
+	return r.promiseAndSearch(home, r.packet.Ballot)
 }
 
-// passOn promises, and asks the agent that e points to on behalf of home.
-func (r *request) passOn(home Peer, e *entry) (Action, bool) {
-	if !e.points() {
+// forwardToOwner promises, and forwards the query of home to the agent that e
+// points to.
+func (r *request) forwardToOwner(home Peer, e *entry) (Action, bool) {
+	if !e.isPointer() {
 		return Action{}, false
 	}
-	slot := e.slot()
+	slot := e.ownerSlot()
 	owner := r.agent.peers.peer(slot)
-	if r.agent.gone(owner, slot, r.now) || owner.Seed == home.Seed || r.packet.IsNonOwner(owner.Seed) {
+	if r.agent.isUnreachable(owner, slot, r.now) || owner.Seed == home.Seed || r.packet.IsNonOwner(owner.Seed) {
 		return Action{}, false
 	}
 	r.promise(home, r.packet.Ballot)
-	action := r.relay(owner, &r.agent.stats.chased)
+	action := r.relay(owner, &r.agent.stats.forwarded)
 	if r.packet.PointerRequested {
 		action.PointerRecipient, action.Owner = home, owner
 	}
 	return action, true
 }
 
-// overruleByBound moves home's search to the home of a newer ballot that e binds
-// this agent to. The overruled home is left to promise.
-func (r *request) overruleByBound(home Peer, e *entry) (Action, bool) {
-	bound := r.agent.ballots.ballot(e.bound)
-	if !bound.Newer(r.packet.Ballot) {
+// redirectByPromise redirects home's search to the home of a newer ballot that e
+// is bound to. The promise of the superseded home is still required.
+func (r *request) redirectByPromise(home Peer, e *entry) (Action, bool) {
+	promised := r.agent.ballots.ballot(e.promised)
+	if !promised.Newer(r.packet.Ballot) {
 		return Action{}, false
 	}
 	r.packet.SupersededHome = home
 	if e.home == homeSelf {
 		r.packet.Kind = Search
-		r.packet.raise(bound)
+		r.packet.raiseBallot(promised)
 		return r.search(), true
 	}
-	return r.handOver(r.agent.peers.peer(e.home-homePeer), bound), true
+	return r.promiseAndSearch(r.agent.peers.peer(e.home-homePeer), promised), true
 }
 
-// overruleByView moves home's search to the pick of a newer view.
-func (r *request) overruleByView(home Peer) (Action, bool) {
+// redirectByView redirects home's search to the pick of a newer view.
+func (r *request) redirectByView(home Peer) (Action, bool) {
 	current := r.agent.current.Load()
 	if current == nil || !current.view.Version.Newer(r.packet.Ballot.Version) {
 		return Action{}, false
 	}
-	pick, ok := pickOf(r.id.Key, current.view)
+	pick, ok := pickPeer(r.id.Key, current.view)
 	if !ok || pick.Seed == home.Seed {
 		return Action{}, false
 	}
 	r.packet.SupersededHome = home
 	if pick.Seed == r.agent.options.Self.Seed {
 		r.packet.Kind = Search
-		r.packet.raise(Ballot{Version: current.view.Version})
+		r.packet.raiseBallot(Ballot{Version: current.view.Version})
 		return r.search(), true
 	}
-	return r.handOverToPick(pick, current), true
+	return r.promiseAndSearchPick(pick, current), true
 }
 
-// assigned takes a flow that its home has placed here. If this agent knows more
-// of the flow, it answers as if home, which is bound to the retake, had asked.
-func (r *request) assigned() Action {
+// receiveAssign acquires a flow that its home places on this agent. If this agent
+// has an owner or a newer ballot for the flow, it processes the packet like a query
+// from the home, which is bound to the retake ballot.
+func (r *request) receiveAssign() Action {
 	e := r.shard.flows.find(r.id)
-	if e == nil || e.free() && !r.agent.ballots.ballot(e.bound).Newer(r.packet.Ballot) {
-		return r.take()
+	if e == nil || e.isOwnerUnknown() && !r.agent.ballots.ballot(e.promised).Newer(r.packet.Ballot) {
+		return r.acquire()
 	}
 	r.packet.Kind = Query
 	r.packet.PointerRequested = true
-	r.packet.raise(r.packet.Ballot.retake())
-	return r.answer()
+	r.packet.raiseBallot(r.packet.Ballot.retakeBallot())
+	return r.receiveQuery()
 }
 
 func (r *request) deliver(e *entry) Action {
-	e.seen = ticks(r.now)
+	e.lastUsed = ticks(r.now)
 	r.agent.stats.delivered.Add(1)
 	return Action{Verdict: Deliver}
 }
 
-func (r *request) deliverFor(home Peer, e *entry) Action {
+func (r *request) deliverQuery(home Peer, e *entry) Action {
 	action := r.deliver(e)
 	if r.packet.PointerRequested {
 		action.PointerRecipient, action.Owner = home, r.agent.options.Self
@@ -284,52 +290,53 @@
 	return action
 }
 
-func (r *request) take() Action {
+func (r *request) acquire() Action {
 	e := r.shard.flows.insert(r.id)
-	*e = entry{id: r.id, owner: ownerSelf, seen: ticks(r.now)}
-	r.agent.owned.Add(1)
-	r.agent.stats.taken.Add(1)
+	*e = entry{id: r.id, owner: ownerSelf, lastUsed: ticks(r.now)}
+	r.agent.ownedCount.Add(1)
+	r.agent.stats.acquired.Add(1)
 	r.agent.stats.delivered.Add(1)
 	return Action{Verdict: Deliver, BecameOwner: true}
 }
 
-// ask sends the packet to an agent that may own the flow.
-func (r *request) ask(to Peer, answer bool) Action {
+// query sends the packet to an agent that may own the flow. If requestPointer is
+// set, the owner also sends a pointer.
+func (r *request) query(to Peer, requestPointer bool) Action {
 	r.packet.Kind = Query
 	r.packet.Home = r.agent.options.Self
-	r.packet.PointerRequested = answer
-	if answer {
-		r.agent.peers.asked(r.agent.peers.slot(to), r.now)
+	r.packet.PointerRequested = requestPointer
+	if requestPointer {
+		r.agent.peers.recordQuery(r.agent.peers.upsert(to), r.now)
 	}
-	return r.relay(to, &r.agent.stats.asked)
+	return r.relay(to, &r.agent.stats.queried)
 }
 
-// handOver promises not to take the flow under a ballot older than the given
-// one, and sends the packet to that ballot's home.
-func (r *request) handOver(home Peer, ballot Ballot) Action {
+// promiseAndSearch promises not to acquire the flow under a ballot older than the
+// given one, and sends the packet to the home of that ballot.
+func (r *request) promiseAndSearch(home Peer, ballot Ballot) Action {
 	r.packet.Kind = Search
-	r.packet.raise(ballot)
+	r.packet.raiseBallot(ballot)
 	r.promise(home, ballot)
-	return r.relay(home, &r.agent.stats.denied)
+	return r.relay(home, &r.agent.stats.returnedHome)
 }
 
-// handOverToPick hands the packet to the pick of the view in force, with the
-// earlier picks that the view knows of.
-func (r *request) handOverToPick(pick Peer, current *adopted) Action {
-	r.packet.raise(Ballot{Version: current.view.Version})
-	r.packet.EarlierPicks, r.packet.EarlierPicksComplete = r.priors(current)
-	return r.handOver(pick, r.packet.Ballot)
+// promiseAndSearchPick sends the packet to the pick of the active view, with the
+// earlier picks that the view lists.
+func (r *request) promiseAndSearchPick(pick Peer, current *adoptedView) Action {
+	r.packet.raiseBallot(Ballot{Version: current.view.Version})
+	r.packet.EarlierPicks, r.packet.EarlierPicksComplete = r.earlierPicks(current)
+	return r.promiseAndSearch(pick, r.packet.Ballot)
 }
 
-// priors returns the picks of the earlier versions of the view in force other
-// than this agent, and whether that is all of them.
-func (r *request) priors(current *adopted) (p EarlierPicks, all bool) {
-	if r.now-current.at > r.agent.options.HistoryWindow {
+// earlierPicks returns the picks of earlier versions of the active view except
+// this agent, and whether the list is complete.
+func (r *request) earlierPicks(current *adoptedView) (p EarlierPicks, complete bool) {
+	if r.now-current.adoptedAt > r.agent.options.HistoryWindow {
 		return p, true
 	}
 	for i := range current.view.Earlier {
-		first, next := earlierPicks(r.id.Key, current.view, current.view.PastTargets(i))
-		for _, m := range [...]int{first, next} {
+		pick, substitute := pickAndSubstitute(r.id.Key, current.view, current.view.PastTargets(i))
+		for _, m := range [...]int{pick, substitute} {
 			if m == placement.None || current.view.Seed(m) == r.agent.options.Self.Seed {
 				continue
 			}
@@ -342,24 +349,24 @@
 }
 
 func (r *request) promise(home Peer, ballot Ballot) {
-	r.bind(r.agent.peers.slot(home)+homePeer, ballot)
-	r.packet.deny(r.agent.options.Self.Seed)
+	r.raisePromise(r.agent.peers.upsert(home)+homePeer, ballot)
+	r.packet.addNonOwner(r.agent.options.Self.Seed)
 }
 
-// bind raises the ballot that the flow's entry is bound to.
-func (r *request) bind(home uint32, ballot Ballot) {
+// raisePromise raises the ballot that the flow's entry is bound to.
+func (r *request) raisePromise(home uint32, ballot Ballot) {
 	e := r.shard.flows.insert(r.id)
-	e.seen = ticks(r.now)
-	if ballot.Newer(r.agent.ballots.ballot(e.bound)) {
-		e.bound, e.home = r.agent.ballots.number(ballot), home
+	e.lastUsed = ticks(r.now)
+	if ballot.Newer(r.agent.ballots.ballot(e.promised)) {
+		e.promised, e.home = r.agent.ballots.intern(ballot), home
 	}
 }
 
-// assign lends the ballot to other and binds this agent to the retake.
+// assign delegates the ballot to other and binds this agent to the retake ballot.
 func (r *request) assign(other Peer) Action {
-	r.bind(homeSelf, r.packet.Ballot.retake())
+	r.raisePromise(homeSelf, r.packet.Ballot.retakeBallot())
 	e := r.shard.flows.find(r.id)
-	e.owner = ownerPeer + r.agent.peers.slot(other)
+	e.owner = ownerPeer + r.agent.peers.upsert(other)
 	r.packet.Kind = Assign
 	r.packet.Home = r.agent.options.Self
 	return r.relay(other, &r.agent.stats.diverted)
@@ -367,7 +374,7 @@
 
 func (r *request) relay(to Peer, counter *counter) Action {
 	if r.packet.Hops >= r.agent.options.MaxHops {
-		return r.agent.refuse(HopLimit)
+		return r.agent.drop(HopLimit)
 	}
 	counter.Add(1)
 	r.packet.Hops++
--- a/core/flow/stats.go
+++ b/core/flow/stats.go
@@ -7,22 +7,22 @@
 
 type counter = atomic.Uint64
 
-// stats counts an agent's decisions.
-type stats struct {
-	delivered counter
-	taken     counter
-	asked     counter
-	chased    counter
-	denied    counter
-	diverted  counter
-	contested counter
-	refused   [reasons]counter
+// counters count an agent's decisions.
+type counters struct {
+	delivered    counter
+	acquired     counter
+	queried      counter
+	forwarded    counter
+	returnedHome counter
+	diverted     counter
+	contested    counter
+	dropped      [reasonCount]counter
 }
 
-// DropCounts counts dropped packets by reason.
-type DropCounts [reasons]uint64
+// DropCounts are the numbers of dropped packets by reason.
+type DropCounts [reasonCount]uint64
 
-// ByName returns the counts that are not 0, by the reason's name.
+// ByName returns the nonzero counts by the name of the reason.
 func (r DropCounts) ByName() map[string]uint64 {
 	out := make(map[string]uint64)
 	for reason, n := range r {
@@ -33,15 +33,15 @@
 	return out
 }
 
-// Stats are an agent's counts since its start.
+// Stats are the counts of an agent since its start.
 type Stats struct {
-	Delivered    uint64     // packets handed to the backend server
-	Acquired     uint64     `json:"Taken"`  // flows taken
+	Delivered    uint64     // packets delivered to the backend server
+	Acquired     uint64     `json:"Taken"`  // flows acquired
 	Queried      uint64     `json:"Asked"`  // packets relayed to an agent that may own the flow
-	Forwarded    uint64     `json:"Chased"` // packets relayed along a pointer for another agent
-	ReturnedHome uint64     `json:"Denied"` // packets sent to a home as not owned here
-	Diverted     uint64     // flows placed on another agent for balance
-	Contested    uint64     // pointers received for flows that are owned here
+	Forwarded    uint64     `json:"Chased"` // queries relayed along a pointer for another agent
+	ReturnedHome uint64     `json:"Denied"` // packets relayed to a home because the flow is not owned here
+	Diverted     uint64     // flows placed on another agent to balance load
+	Contested    uint64     // pointers received for flows that this agent owns
 	Dropped      DropCounts `json:"-"`
 }
 
@@ -49,34 +49,34 @@
 func (a *Agent) Stats() Stats {
 	s := Stats{
 		Delivered:    a.stats.delivered.Load(),
-		Acquired:     a.stats.taken.Load(),
-		Queried:      a.stats.asked.Load(),
-		Forwarded:    a.stats.chased.Load(),
-		ReturnedHome: a.stats.denied.Load(),
+		Acquired:     a.stats.acquired.Load(),
+		Queried:      a.stats.queried.Load(),
+		Forwarded:    a.stats.forwarded.Load(),
+		ReturnedHome: a.stats.returnedHome.Load(),
 		Diverted:     a.stats.diverted.Load(),
 		Contested:    a.stats.contested.Load(),
 	}
 	for i := range s.Dropped {
-		s.Dropped[i] = a.stats.refused[i].Load()
+		s.Dropped[i] = a.stats.dropped[i].Load()
 	}
 	return s
 }
 
-// OwnedCount returns the number of flows owned.
-func (a *Agent) OwnedCount() int { return int(a.owned.Load()) }
+// OwnedCount returns the number of owned flows.
+func (a *Agent) OwnedCount() int { return int(a.ownedCount.Load()) }
 
-// OwnerFlows is the number of flows that an agent knows one owner to hold.
+// OwnerFlows is the number of flows of one owner in an agent's flow table.
 type OwnerFlows struct {
 	Owner Peer
 	Flows int
 }
 
-// FlowsByOwner counts the flows known here by owner: this agent's own first, then
-// those it points to, by seed.
+// FlowsByOwner counts the flows in the table by owner: the flows of this agent
+// first, then those of the owners that it has pointers to, sorted by seed.
 func (a *Agent) FlowsByOwner() []OwnerFlows {
 	counts := make(map[uint32]int)
 	for i := range a.shards {
-		a.shards[i].count(counts)
+		a.shards[i].countByOwner(counts)
 	}
 	all := []OwnerFlows{{Owner: a.options.Self, Flows: counts[ownerSelf]}}
 	delete(counts, ownerSelf)
@@ -93,17 +93,17 @@
 	return all
 }
 
-func (s *shard) count(counts map[uint32]int) {
+func (s *shard) countByOwner(counts map[uint32]int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i := range s.flows.entries {
-		if e := &s.flows.entries[i]; e.used() {
+		if e := &s.flows.entries[i]; e.inUse() {
 			counts[e.owner]++
 		}
 	}
 }
 
-// TableBytes returns the memory of the flow table in bytes.
+// TableBytes returns the size of the flow table in bytes.
 func (a *Agent) TableBytes() int {
 	n := 0
 	for i := range a.shards {
