--- a/core/flow/agent.go
+++ b/core/flow/agent.go
@@ -16,23 +16,25 @@
 	tick       = 100 * time.Millisecond // resolution of entry.lastUsed
 )
 
-// AgentOptions configure an Agent. Zero durations and counts select the defaults.
+// AgentOptions configure an Agent. Zero durations and counts select the
+// defaults.
 type AgentOptions struct {
 	// Self identifies this run of the agent.
 	Self Peer
-	// IdleTimeout is the time without packets after which an owned flow expires.
+	// IdleTimeout is the time without packets after which an owned flow
+	// expires.
 	IdleTimeout time.Duration
 	// PointerTTL is the time without use or refresh after which a pointer
-	// expires. It must exceed the largest IdleTimeout that is active anywhere in
-	// the fleet.
+	// expires. It must exceed the largest IdleTimeout that is active anywhere
+	// in the fleet.
 	PointerTTL time.Duration
 	// HistoryWindow is the time after a view's adoption during which the agents
 	// that earlier versions placed a flow on are queried about the flow.
 	HistoryWindow time.Duration
 	// UnresponsiveAfter and UnresponsiveQueries define when an agent counts as
 	// unresponsive: at least UnresponsiveQueries consecutive queries to it are
-	// unanswered, and the first of them is older than UnresponsiveAfter. Such an
-	// agent is skipped if it is not a member of the active view.
+	// unanswered, and the first of them is older than UnresponsiveAfter. Such
+	// an agent is skipped if it is not a member of the active view.
 	UnresponsiveAfter   time.Duration
 	UnresponsiveQueries int
 	// MaxHops is the maximum number of times that one packet is relayed.
@@ -56,8 +58,8 @@
 }
 
 // Agent decides on the packets of the service that one backend server serves.
-// Its methods are safe for concurrent use. Times are durations since an arbitrary
-// fixed start.
+// Its methods are safe for concurrent use. Times are durations since an
+// arbitrary fixed start.
 type Agent struct {
 	options    AgentOptions
 	shards     [shardCount]shard
@@ -223,10 +225,10 @@
 	return e != nil && e.isOwned()
 }
 
-// StorePointers stores pointers to owner that were received from the agent from,
-// which is either the owner or an agent with a pointer to it. Flows that this
-// agent owns are not changed, and a pointer that is not from the owner itself
-// does not replace an existing one.
+// StorePointers stores pointers to owner that were received from the agent
+// from, which is either the owner or an agent with a pointer to it. Flows that
+// this agent owns are not changed, and a pointer that is not from the owner
+// itself does not replace an existing one.
 func (a *Agent) StorePointers(now time.Duration, from, owner Peer, ids []ID) {
 	a.peers.markResponsive(from.Seed)
 	if owner.Seed == a.options.Self.Seed {
@@ -285,8 +287,8 @@
 }
 
 // Sweep removes the expired flows and pointers of shard turn modulo shardCount
-// and returns the IDs of the owned flows among them. Callers increment turn with
-// every call, so that shardCount (64) calls cover the whole table.
+// and returns the IDs of the owned flows among them. Callers increment turn
+// with every call, so that shardCount (64) calls cover the whole table.
 func (a *Agent) Sweep(now time.Duration, turn int) []ID {
 	s := &a.shards[turn%shardCount]
 	s.mu.Lock()
@@ -320,8 +322,8 @@
 
 func ticks(d time.Duration) uint32 { return uint32(d / tick) }
 
-// pickPeer returns the agent that v places key on; ok is false if v places it on
-// none.
+// pickPeer returns the agent that v places key on; ok is false if v places it
+// on none.
 func pickPeer(key uint64, v *view.View) (p Peer, ok bool) {
 	i := placement.Pick(key, v)
 	if i == placement.None {
--- a/core/flow/balance.go
+++ b/core/flow/balance.go
@@ -7,12 +7,12 @@
 	"fulmarmount.org/core/view"
 )
 
-// divertThreshold is the relative excess over the fair share of flows above which
-// an agent places new flows on other agents.
+// divertThreshold is the relative excess over the fair share of flows above
+// which an agent places new flows on other agents.
 const divertThreshold = 0.01
 
-// rebalancePlan is the number of new flows that one load report allows this agent
-// to place elsewhere, and the agents that may receive them.
+// rebalancePlan is the number of new flows that one load report allows this
+// agent to place elsewhere, and the agents that may receive them.
 type rebalancePlan struct {
 	quota       atomic.Int64  // new flows still to be placed elsewhere
 	underloaded []view.Target // agents below their fair share; the weights are the deficits
@@ -21,8 +21,8 @@
 
 // SetLoads applies a report of the loads of a service's agents, all measured at
 // about the same time. An agent whose load exceeds its fair share by weight
-// places as many new flows as it has in excess on agents below their share, until
-// the next report.
+// places as many new flows as it has in excess on agents below their share,
+// until the next report.
 func (a *Agent) SetLoads(loads []view.Load) {
 	c := a.current.Load()
 	if c == nil || c.selfIndex < 0 || c.view.Resting() {
@@ -61,7 +61,8 @@
 	return b
 }
 
-// divert returns the agent that a new flow is placed on to balance load, if any.
+// divert returns the agent that a new flow is placed on to balance load, if
+// any.
 func (r *request) divert(current *adoptedView) (Peer, bool) {
 	b := r.agent.rebalance.Load()
 	if b == nil || current == nil || r.packet.Ballot != (Ballot{Version: current.view.Version}) || b.view != current.view || b.quota.Load() <= 0 {
--- a/core/flow/balancer.go
+++ b/core/flow/balancer.go
@@ -19,7 +19,8 @@
 	ErrUnknownAddress = errorNamespace.NewType("unknown_address").NewWithNoMessage()
 	// ErrNoView is returned while a service has no view.
 	ErrNoView = errorNamespace.NewType("no_view").NewWithNoMessage()
-	// ErrNoTarget is returned while a service has no backend server to forward to.
+	// ErrNoTarget is returned while a service has no backend server to forward
+	// to.
 	ErrNoTarget = errorNamespace.NewType("no_target").NewWithNoMessage()
 )
 
@@ -33,10 +34,11 @@
 type Decision struct {
 	Service view.ServiceID
 	Version view.Version
-	// Target is the agent of the backend server that the view places the flow on.
+	// Target is the agent of the backend server that the view places the flow
+	// on.
 	Target Peer
-	// EarlierPicks are the agents other than Target that earlier views placed the
-	// flow on.
+	// EarlierPicks are the agents other than Target that earlier views placed
+	// the flow on.
 	EarlierPicks EarlierPicks
 	// EarlierPicksComplete reports whether EarlierPicks lists all of them.
 	EarlierPicksComplete bool
@@ -51,8 +53,8 @@
 }
 
 // Balancer decides where to forward the packets of callers. It has no state per
-// flow: another balancer with the same view makes the same decisions. Its methods
-// are safe for concurrent use; Forward takes no lock.
+// flow: another balancer with the same view makes the same decisions. Its
+// methods are safe for concurrent use; Forward takes no lock.
 type Balancer struct {
 	historyWindow   time.Duration
 	shards          [shardCount]addressShard
@@ -81,8 +83,8 @@
 	adoptedAt time.Duration
 }
 
-// NewBalancer returns a balancer without services. Earlier views of a service are
-// consulted for the given time after the adoption of a new one.
+// NewBalancer returns a balancer without services. Earlier views of a service
+// are consulted for the given time after the adoption of a new one.
 func NewBalancer(window time.Duration) *Balancer {
 	b := &Balancer{historyWindow: window, services: make(map[view.ServiceID]*serviceState)}
 	for i := range b.shards {
@@ -163,8 +165,8 @@
 	return n
 }
 
-// ExpireEarlierViews removes the earlier views of services whose active view was
-// adopted longer ago than the history window.
+// ExpireEarlierViews removes the earlier views of services whose active view
+// was adopted longer ago than the history window.
 func (b *Balancer) ExpireEarlierViews(now time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -242,8 +244,8 @@
 	return p, true
 }
 
-// latestRun returns member i of an older view in its latest run, and whether the
-// member stays in the active view.
+// latestRun returns member i of an older view in its latest run, and whether
+// the member stays in the active view.
 func (v *viewHistory) latestRun(old *view.View, i int) (Peer, bool) {
 	current := v.current.view
 	j := i
--- a/core/flow/ballot.go
+++ b/core/flow/ballot.go
@@ -6,17 +6,17 @@
 	"fulmarmount.org/core/view"
 )
 
-// Ballot is the right to acquire ownership of a flow. Under the ballot of a view
-// version only the ballot's home, which is the agent that the version picks, may
-// acquire the flow, and only after the homes of earlier ballots have promised not
-// to. A home that delegates its ballot to another agent, to balance load, keeps
-// the retake ballot of the same version, which is newer.
+// Ballot is the right to acquire ownership of a flow. Under the ballot of a
+// view version only the ballot's home, which is the agent that the version
+// picks, may acquire the flow, and only after the homes of earlier ballots have
+// promised not to. A home that delegates its ballot to another agent, to
+// balance load, keeps the retake ballot of the same version, which is newer.
 //
 // No two agents acquire the same flow: the home of the later ballot has the
-// promise of the home of the earlier one, which had not acquired the flow when it
-// promised and may not do so afterwards. The argument is that of "Paxos Made
-// Simple", section 2.2, with one proposer per ballot and all earlier proposers as
-// the quorum.
+// promise of the home of the earlier one, which had not acquired the flow when
+// it promised and may not do so afterwards. The argument is that of "Paxos Made
+// Simple", section 2.2, with one proposer per ballot and all earlier proposers
+// as the quorum.
 type Ballot struct {
 	Version view.Version
 	Retake  bool
@@ -32,8 +32,8 @@
 
 func (b Ballot) retakeBallot() Ballot { return Ballot{Version: b.Version, Retake: true} }
 
-// ballotTable interns ballots, so that a flow table entry stores a number instead
-// of a ballot.
+// ballotTable interns ballots, so that a flow table entry stores a number
+// instead of a ballot.
 type ballotTable struct {
 	mu      sync.RWMutex
 	list    []Ballot
--- a/core/flow/export.go
+++ b/core/flow/export.go
@@ -18,9 +18,9 @@
 	Home           Peer   `cbor:"6,keyasint"`
 }
 
-// Export returns the agent's state of all flows, including its promises. The agent
-// must receive no packets during or after the export: the next run continues
-// under the same incarnation and is bound by the promises.
+// Export returns the agent's state of all flows, including its promises. The
+// agent must receive no packets during or after the export: the next run
+// continues under the same incarnation and is bound by the promises.
 func (a *Agent) Export(now time.Duration) []Record {
 	var out []Record
 	for i := range a.shards {
@@ -50,8 +50,8 @@
 	return s
 }
 
-// Import restores the flows that an earlier run of the agent has exported. Call it
-// before the first packet.
+// Import restores the flows that an earlier run of the agent has exported. Call
+// it before the first packet.
 func (a *Agent) Import(now time.Duration, flows []Record) {
 	for i := range flows {
 		a.restore(now, &flows[i])
--- a/core/flow/flow_test.go
+++ b/core/flow/flow_test.go
@@ -41,13 +41,13 @@
 func TestForward(t *testing.T) {
 	is := is.New(t)
 	before, after := readyView(7, 1), readyView(8, 2)
-	b, fresh := newTestBalancer(before, after), newTestBalancer(after)
+	b, withoutHistory := newTestBalancer(before, after), newTestBalancer(after)
 	is.True(!b.SetView(0, before)) // older
 	moved := 0
 	for i := range 1000 {
 		d, err := b.Forward(tupleOf(i))
 		is.NoErr(err)
-		f, err := fresh.Forward(tupleOf(i))
+		f, err := withoutHistory.Forward(tupleOf(i))
 		is.NoErr(err)
 		is.Equal(d.Target, f.Target) // the pick depends on the view alone
 		if !d.EarlierPicks[0].IsZero() {
@@ -65,7 +65,7 @@
 func TestForwardDrops(t *testing.T) {
 	is := is.New(t)
 	empty := view.New(1, view.Version{Number: 1}, nil)
-	elsewhere := Tuple{Caller: tupleOf(1).Caller, Service: netip.MustParseAddrPort("127.1.0.2:443")}
+	otherAddress := Tuple{Caller: tupleOf(1).Caller, Service: netip.MustParseAddrPort("127.1.0.2:443")}
 	for _, c := range []struct {
 		b      *Balancer
 		tuple  Tuple
@@ -74,7 +74,7 @@
 	}{
 		{newTestBalancer(), tupleOf(1), ErrNoView, NoView},
 		{newTestBalancer(empty), tupleOf(1), ErrNoTarget, NoTarget},
-		{newTestBalancer(readyView(7, 1)), elsewhere, ErrUnknownAddress, UnknownAddress},
+		{newTestBalancer(readyView(7, 1)), otherAddress, ErrUnknownAddress, UnknownAddress},
 	} {
 		_, err := c.b.Forward(c.tuple)
 		is.Equal(err, c.err)
@@ -140,24 +140,24 @@
 	after.Members[0].State, after.Members[0].Weight = view.Draining, 0
 	after.Prepare()
 	a := newTestAgent(before, 0)
-	known := Packet{Service: 1, TargetIncarnation: 1, Ballot: Ballot{Version: before.Version}, EarlierPicksComplete: true, Tuple: tupleOf(1)}
-	first := known
+	owned := Packet{Service: 1, TargetIncarnation: 1, Ballot: Ballot{Version: before.Version}, EarlierPicksComplete: true, Tuple: tupleOf(1)}
+	first := owned
 	is.True(a.Receive(0, &first).BecameOwner)
 	a.SetView(0, after)
-	is.Equal(a.Receive(0, &known).Verdict, Deliver) // delivers flows that it owns
-	fresh := Packet{Service: 1, TargetIncarnation: 1, Ballot: Ballot{Version: before.Version}, EarlierPicksComplete: true, Tuple: tupleOf(2)}
-	action := a.Receive(0, &fresh)
+	is.Equal(a.Receive(0, &owned).Verdict, Deliver) // delivers flows that it owns
+	unowned := Packet{Service: 1, TargetIncarnation: 1, Ballot: Ballot{Version: before.Version}, EarlierPicksComplete: true, Tuple: tupleOf(2)}
+	action := a.Receive(0, &unowned)
 	is.Equal(action.Verdict, Relay)
 	is.Equal(action.To, PeerOf(after, 1))
-	all := readyView(2, 3)
-	for i := range all.Members {
-		all.Members[i].State = view.Draining
+	allDraining := readyView(2, 3)
+	for i := range allDraining.Members {
+		allDraining.Members[i].State = view.Draining
 	}
-	all.Prepare()
-	a.SetView(0, all)
-	fresh = Packet{Service: 1, TargetIncarnation: 1, Ballot: Ballot{Version: all.Version}, EarlierPicksComplete: true, Tuple: tupleOf(3)}
-	is.Equal(a.Receive(time.Minute, &fresh).Reason, NoTarget) // the history window has ended
-	_, err := newTestBalancer(all).Forward(tupleOf(1))
+	allDraining.Prepare()
+	a.SetView(0, allDraining)
+	unowned = Packet{Service: 1, TargetIncarnation: 1, Ballot: Ballot{Version: allDraining.Version}, EarlierPicksComplete: true, Tuple: tupleOf(3)}
+	is.Equal(a.Receive(time.Minute, &unowned).Reason, NoTarget) // the history window has ended
+	_, err := newTestBalancer(allDraining).Forward(tupleOf(1))
 	is.NoErr(err) // flows of draining hosts are still forwarded
 }
 
@@ -210,24 +210,24 @@
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(3, 3))
 	var table table
-	naive := map[ID]uint32{}
+	reference := map[ID]uint32{}
 	for range 200_000 {
 		id := ID{Key: uint64(rng.IntN(500)) << 55, Check: uint64(rng.IntN(4))} // clustered keys
 		switch rng.IntN(3) {
 		case 0:
 			table.remove(id)
-			delete(naive, id)
+			delete(reference, id)
 		case 1:
 			seen := rng.Uint32()
 			table.insert(id).lastUsed = seen
-			naive[id] = seen
+			reference[id] = seen
 		default:
 			e := table.find(id)
-			seen, ok := naive[id]
+			seen, ok := reference[id]
 			is.Equal(e != nil, ok)
 			is.True(e == nil || e.lastUsed == seen)
 		}
-		is.Equal(table.count, len(naive))
+		is.Equal(table.count, len(reference))
 		if rng.IntN(1000) == 0 {
 			table.compact()
 		}
--- a/core/flow/interleave_test.go
+++ b/core/flow/interleave_test.go
@@ -17,7 +17,8 @@
 // maxHops is high enough that no packet of a model reaches it.
 const maxHops = 255
 
-// maxSettleMessages is the number of messages within which a packet must be delivered.
+// maxSettleMessages is the number of messages within which a packet must be
+// delivered.
 const maxSettleMessages = 32
 
 var serviceAddr = netip.MustParseAddrPort("127.1.0.1:443")
@@ -33,8 +34,8 @@
 	}
 }
 
-// singlePickViews returns views over three hosts. Version i places every flow on
-// the host picks[i] and lists the weights of all earlier versions.
+// singlePickViews returns views over three hosts. Version i places every flow
+// on the host picks[i] and lists the weights of all earlier versions.
 func singlePickViews(picks ...int) []*view.View {
 	views := make([]*view.View, len(picks))
 	var earlier []view.Past
@@ -118,8 +119,8 @@
 
 func hostIndex(p Peer) int { return int(p.Addr.Addr().As4()[3]) }
 
-// choices returns the number of choices: deliver message i, lose message i, or let
-// agent i adopt its next view.
+// choices returns the number of choices: deliver message i, lose message i, or
+// let agent i adopt its next view.
 func (r *run) choices() int {
 	return 2*len(r.queue) + len(r.agents)
 }
@@ -242,8 +243,8 @@
 }
 
 // explore visits every reachable state. It returns the number of states and the
-// first sequence of choices after which two agents have delivered the flow or none
-// delivers it.
+// first sequence of choices after which two agents have delivered the flow or
+// none delivers it.
 func (m *model) explore() (states int, counterexample []int) {
 	m.forward()
 	seen := map[string]bool{}
--- a/core/flow/key.go
+++ b/core/flow/key.go
@@ -1,11 +1,11 @@
 // Package flow decides where packets go: a balancer's choice of agent, and an
 // agent's choice between delivering a packet and relaying it.
 //
-// The agent that delivers a flow's packets owns the flow and is the only authority
-// on it. A flow without an owner is acquired by the agent that the newest view
-// places it on, after the agents that earlier views place it on have promised not
-// to acquire it; see Ballot. Other agents store pointers to the owner, which avoid
-// a search for it.
+// The agent that delivers a flow's packets owns the flow and is the only
+// authority on it. A flow without an owner is acquired by the agent that the
+// newest view places it on, after the agents that earlier views place it on
+// have promised not to acquire it; see Ballot. Other agents store pointers to
+// the owner, which avoid a search for it.
 package flow
 
 import (
--- a/core/flow/packet.go
+++ b/core/flow/packet.go
@@ -28,14 +28,15 @@
 
 // The kinds of packet.
 const (
-	// Search makes the receiver the flow's home: it finds the owner, or acquires
-	// the flow. It is sent by balancers, and by agents that return a flow that
-	// they do not own to its home.
+	// Search makes the receiver the flow's home: it finds the owner, or
+	// acquires the flow. It is sent by balancers, and by agents that return a
+	// flow that they do not own to its home.
 	Search PacketKind = iota
-	// Query is delivered by the flow's owner. Any other receiver forwards it along
-	// its pointer, or returns it to the home as a Search.
+	// Query is delivered by the flow's owner. Any other receiver forwards it
+	// along its pointer, or returns it to the home as a Search.
 	Query
-	// Assign delegates the ballot to the receiver, on which the home places the flow.
+	// Assign delegates the ballot to the receiver, on which the home places the
+	// flow.
 	Assign
 
 	kindCount
@@ -48,7 +49,8 @@
 // zero values.
 type EarlierPicks [MaxEarlierPicks]Peer
 
-// add appends a peer unless p contains its agent, and returns false if p is full.
+// add appends a peer unless p contains its agent, and returns false if p is
+// full.
 func (p *EarlierPicks) add(peer Peer) bool {
 	for i := range p {
 		if p[i].Seed == peer.Seed {
@@ -69,11 +71,12 @@
 type Packet struct {
 	Kind    PacketKind
 	Service view.ServiceID
-	// Ballot is the ballot whose home is the receiver or, for a Query, the agent
-	// in Home.
+	// Ballot is the ballot whose home is the receiver or, for a Query, the
+	// agent in Home.
 	Ballot Ballot
 	Tuple  Tuple
-	// TargetIncarnation is the run of the receiving agent that the packet is meant for.
+	// TargetIncarnation is the run of the receiving agent that the packet is
+	// meant for.
 	TargetIncarnation view.Incarnation
 	// EarlierPicks are the agents that earlier views placed the flow on, newest
 	// first. Agents in NonOwners may be omitted.
@@ -84,22 +87,23 @@
 	EarlierPicksComplete bool
 	// Home is the agent that searches for the owner; set on Query and Assign.
 	Home Peer
-	// SupersededHome is a home whose search was redirected to the home of a newer
-	// ballot and whose promise is still required, or zero.
+	// SupersededHome is a home whose search was redirected to the home of a
+	// newer ballot and whose promise is still required, or zero.
 	SupersededHome Peer
-	// PointerRequested is set on a Query if the owner, or an agent with a pointer
-	// to it, sends the home a pointer.
+	// PointerRequested is set on a Query if the owner, or an agent with a
+	// pointer to it, sends the home a pointer.
 	PointerRequested bool
-	// NonOwners[:NonOwnerCount] are the seeds of agents that do not own the flow
-	// and have promised not to acquire it under a ballot older than Ballot.
+	// NonOwners[:NonOwnerCount] are the seeds of agents that do not own the
+	// flow and have promised not to acquire it under a ballot older than
+	// Ballot.
 	NonOwners     [MaxNonOwners]uint64
 	NonOwnerCount uint8
 	// Hops is the number of times that agents have relayed the packet.
 	Hops uint8
 }
 
-// raiseBallot replaces the ballot by a newer one, for which no agent has promised
-// yet. It does nothing if b is not newer.
+// raiseBallot replaces the ballot by a newer one, for which no agent has
+// promised yet. It does nothing if b is not newer.
 func (p *Packet) raiseBallot(b Ballot) {
 	if !b.Newer(p.Ballot) {
 		return
@@ -172,11 +176,13 @@
 	Verdict Verdict
 	// Reason is set with Drop.
 	Reason DropReason
-	// BecameOwner is set with Deliver if the agent acquired the flow with this packet.
+	// BecameOwner is set with Deliver if the agent acquired the flow with this
+	// packet.
 	BecameOwner bool
 	// To is the next receiver; set with Relay.
 	To Peer
-	// PointerRecipient, unless zero, is the agent to send a pointer to Owner to.
+	// PointerRecipient, unless zero, is the agent to send a pointer to Owner
+	// to.
 	PointerRecipient Peer
 	Owner            Peer
 }
--- a/core/flow/peers.go
+++ b/core/flow/peers.go
@@ -28,8 +28,8 @@
 	retryAt           time.Duration // time from which an unresponsive agent is queried again
 }
 
-// upsert returns the slot of p's agent, and stores p in it if the slot is new or
-// p is a newer run.
+// upsert returns the slot of p's agent, and stores p in it if the slot is new
+// or p is a newer run.
 func (s *peerTable) upsert(p Peer) uint32 {
 	s.mu.RLock()
 	i, ok := s.bySeed[p.Seed]
@@ -88,8 +88,8 @@
 	s.mu.Unlock()
 }
 
-// isUnresponsive reports whether an agent counts as unresponsive. It returns false
-// again at retryAt, so that a restored path to the agent is noticed.
+// isUnresponsive reports whether an agent counts as unresponsive. It returns
+// false again at retryAt, so that a restored path to the agent is noticed.
 func (s *peerTable) isUnresponsive(slot uint32, now time.Duration) bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
--- a/core/flow/returnpath.go
+++ b/core/flow/returnpath.go
@@ -10,19 +10,20 @@
 )
 
 const (
-	// callerIdleLimit is the time since the last packet of the caller after which
-	// replies of the flow are no longer pinned to the balancer that carried it.
+	// callerIdleLimit is the time since the last packet of the caller after
+	// which replies of the flow are no longer pinned to the balancer that
+	// carried it.
 	callerIdleLimit = 200 * time.Millisecond
-	// livenessTimeout is the time since the last packet of a balancer after which
-	// the balancer no longer counts as live.
+	// livenessTimeout is the time since the last packet of a balancer after
+	// which the balancer no longer counts as live.
 	livenessTimeout = 10 * time.Second
 )
 
 // ReturnPaths chooses the balancer that a reply is sent through. Every balancer
-// serves every caller, so the replies of a flow can use any other balancer if the
-// flow's own may have failed. They must do so, because a caller that only receives
-// sends no packets that would reveal a live balancer. ReturnPaths is safe for
-// concurrent use.
+// serves every caller, so the replies of a flow can use any other balancer if
+// the flow's own may have failed. They must do so, because a caller that only
+// receives sends no packets that would reveal a live balancer. ReturnPaths is
+// safe for concurrent use.
 type ReturnPaths struct {
 	mu        sync.Mutex
 	reported  []netip.AddrPort
@@ -30,8 +31,8 @@
 	nextIndex atomic.Uint64
 }
 
-// balancerSet is an immutable snapshot of the known balancers. Only the times in
-// lastSeen change.
+// balancerSet is an immutable snapshot of the known balancers. Only the times
+// in lastSeen change.
 type balancerSet struct {
 	lastSeen map[netip.AddrPort]*atomic.Int64 // Unix time in nanoseconds
 	live     []netip.AddrPort
@@ -70,8 +71,8 @@
 	r.publish(r.current.Load().lastSeen)
 }
 
-// Expire removes the balancers without a packet in the last livenessTimeout. Those
-// that the control role reports as live remain candidates.
+// Expire removes the balancers without a packet in the last livenessTimeout.
+// Those that the control role reports as live remain candidates.
 func (r *ReturnPaths) Expire(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -91,8 +92,9 @@
 }
 
 // Choose returns the balancer for one reply of a flow whose last packet was
-// carried by balancer at the time inbound. While the caller is active that is the
-// same balancer; afterwards replies rotate over all balancers that may be live.
+// carried by balancer at the time inbound. While the caller is active that is
+// the same balancer; afterwards replies rotate over all balancers that may be
+// live.
 func (r *ReturnPaths) Choose(balancer netip.AddrPort, inbound, now time.Time) netip.AddrPort {
 	if now.Sub(inbound) < callerIdleLimit {
 		return balancer
--- a/core/flow/search.go
+++ b/core/flow/search.go
@@ -7,8 +7,8 @@
 	"fulmarmount.org/core/view"
 )
 
-// request is a packet for which a decision is being made. The lock of its shard is
-// held.
+// request is a packet for which a decision is being made. The lock of its shard
+// is held.
 type request struct {
 	agent  *Agent
 	shard  *shard
@@ -17,8 +17,9 @@
 	id     ID
 }
 
-// search processes the packet as the flow's home. It delivers the packet, sends it
-// towards the owner, collects the promises of earlier homes, or acquires the flow.
+// search processes the packet as the flow's home. It delivers the packet, sends
+// it towards the owner, collects the promises of earlier homes, or acquires the
+// flow.
 func (r *request) search() Action {
 	e := r.shard.flows.find(r.id)
 	if e != nil && e.isOwned() {
@@ -56,8 +57,8 @@
 }
 
 // newerPick returns the pick of the active view, which may be zero, and true if
-// that view is newer than the packet's ballot and does not place the flow on this
-// agent. If it places the flow on this agent, newerPick raises the ballot.
+// that view is newer than the packet's ballot and does not place the flow on
+// this agent. If it places the flow on this agent, newerPick raises the ballot.
 func (r *request) newerPick(current *adoptedView) (Peer, bool) {
 	if current == nil || !current.view.Version.Newer(r.packet.Ballot.Version) {
 		return Peer{}, false
@@ -124,7 +125,8 @@
 	return !a.isMember(p) && a.peers.isUnresponsive(slot, now)
 }
 
-// nextEarlierHome returns the home of an earlier ballot that has not promised yet.
+// nextEarlierHome returns the home of an earlier ballot that has not promised
+// yet.
 func (r *request) nextEarlierHome(current *adoptedView) (Peer, bool) {
 	if p := r.packet.SupersededHome; !p.IsZero() && r.canQuery(p) {
 		return r.agent.peers.latestRun(p), true
@@ -165,9 +167,9 @@
 	return Peer{}, false
 }
 
-// pickAndSubstitute returns the member of v that the targets of an earlier version
-// place key on and, if that member has not stayed since, the member that stores
-// the pointers in its place; placement.None if there is none.
+// pickAndSubstitute returns the member of v that the targets of an earlier
+// version place key on and, if that member has not stayed since, the member
+// that stores the pointers in its place; placement.None if there is none.
 func pickAndSubstitute(key uint64, v *view.View, targets []view.Target) (pick, substitute int) {
 	pick = placement.PickTarget(key, targets)
 	if pick == placement.None || v.Members[pick].Stays() {
@@ -176,8 +178,8 @@
 	return pick, placement.PickStaying(key, v, targets)
 }
 
-// canQuery reports whether p is another agent that is reachable and not known to
-// be a non-owner of the flow.
+// canQuery reports whether p is another agent that is reachable and not known
+// to be a non-owner of the flow.
 func (r *request) canQuery(p Peer) bool {
 	if p.Seed == r.agent.options.Self.Seed || r.packet.IsNonOwner(p.Seed) {
 		return false
@@ -186,8 +188,8 @@
 }
 
 // receiveQuery processes a query from another home: it delivers the packet,
-// forwards it along a pointer, redirects the search to the home of a newer ballot,
-// or promises and returns it.
+// forwards it along a pointer, redirects the search to the home of a newer
+// ballot, or promises and returns it.
 func (r *request) receiveQuery() Action {
 	home := r.packet.Home
 	e := r.shard.flows.find(r.id)
@@ -227,8 +229,8 @@
 	return action, true
 }
 
-// redirectByPromise redirects home's search to the home of a newer ballot that e
-// is bound to. The promise of the superseded home is still required.
+// redirectByPromise redirects home's search to the home of a newer ballot that
+// e is bound to. The promise of the superseded home is still required.
 func (r *request) redirectByPromise(home Peer, e *entry) (Action, bool) {
 	promised := r.agent.ballots.ballot(e.promised)
 	if !promised.Newer(r.packet.Ballot) {
@@ -262,9 +264,9 @@
 	return r.promiseAndSearchPick(pick, current), true
 }
 
-// receiveAssign acquires a flow that its home places on this agent. If this agent
-// has an owner or a newer ballot for the flow, it processes the packet like a query
-// from the home, which is bound to the retake ballot.
+// receiveAssign acquires a flow that its home places on this agent. If this
+// agent has an owner or a newer ballot for the flow, it processes the packet
+// like a query from the home, which is bound to the retake ballot.
 func (r *request) receiveAssign() Action {
 	e := r.shard.flows.find(r.id)
 	if e == nil || e.isOwnerUnknown() && !r.agent.ballots.ballot(e.promised).Newer(r.packet.Ballot) {
@@ -299,8 +301,8 @@
 	return Action{Verdict: Deliver, BecameOwner: true}
 }
 
-// query sends the packet to an agent that may own the flow. If requestPointer is
-// set, the owner also sends a pointer.
+// query sends the packet to an agent that may own the flow. If requestPointer
+// is set, the owner also sends a pointer.
 func (r *request) query(to Peer, requestPointer bool) Action {
 	r.packet.Kind = Query
 	r.packet.Home = r.agent.options.Self
@@ -311,8 +313,8 @@
 	return r.relay(to, &r.agent.stats.queried)
 }
 
-// promiseAndSearch promises not to acquire the flow under a ballot older than the
-// given one, and sends the packet to the home of that ballot.
+// promiseAndSearch promises not to acquire the flow under a ballot older than
+// the given one, and sends the packet to the home of that ballot.
 func (r *request) promiseAndSearch(home Peer, ballot Ballot) Action {
 	r.packet.Kind = Search
 	r.packet.raiseBallot(ballot)
@@ -320,8 +322,8 @@
 	return r.relay(home, &r.agent.stats.returnedHome)
 }
 
-// promiseAndSearchPick sends the packet to the pick of the active view, with the
-// earlier picks that the view lists.
+// promiseAndSearchPick sends the packet to the pick of the active view, with
+// the earlier picks that the view lists.
 func (r *request) promiseAndSearchPick(pick Peer, current *adoptedView) Action {
 	r.packet.raiseBallot(Ballot{Version: current.view.Version})
 	r.packet.EarlierPicks, r.packet.EarlierPicksComplete = r.earlierPicks(current)
@@ -362,7 +364,8 @@
 	}
 }
 
-// assign delegates the ballot to other and binds this agent to the retake ballot.
+// assign delegates the ballot to other and binds this agent to the retake
+// ballot.
 func (r *request) assign(other Peer) Action {
 	r.raisePromise(homeSelf, r.packet.Ballot.retakeBallot())
 	e := r.shard.flows.find(r.id)
--- a/core/flow/table.go
+++ b/core/flow/table.go
@@ -3,8 +3,8 @@
 import "math/bits"
 
 // entry is the state of one flow: whether this agent owns it or which agent its
-// pointer names, and the ballot it is bound to. The zero entry is an unused place
-// of the table.
+// pointer names, and the ballot it is bound to. The zero entry is an unused
+// place of the table.
 type entry struct {
 	id       ID
 	lastUsed uint32 // in ticks
@@ -44,7 +44,8 @@
 )
 
 // table is a hash table with linear probing and without tombstones. It grows by
-// half of its size, which bounds the memory per flow more tightly than doubling.
+// half of its size, which bounds the memory per flow more tightly than
+// doubling.
 type table struct {
 	entries []entry
 	count   int
@@ -55,8 +56,8 @@
 	return int(hi)
 }
 
-// find returns the entry of id, or nil. The pointer is valid until the next insert
-// or remove.
+// find returns the entry of id, or nil. The pointer is valid until the next
+// insert or remove.
 func (t *table) find(id ID) *entry {
 	if t.count == 0 {
 		return nil
@@ -74,7 +75,8 @@
 	}
 }
 
-// insert returns the entry of id, and adds one without an owner if there is none.
+// insert returns the entry of id, and adds one without an owner if there is
+// none.
 func (t *table) insert(id ID) *entry {
 	if e := t.find(id); e != nil {
 		return e
