--- a/core/admission/admission.go
+++ b/core/admission/admission.go
@@ -1,10 +1,11 @@
-// Package admission shares out what is scarce under load: the slots of a
-// backend server and of a gateway (Limiter), the packets a balancer can handle
-// (Scheduler), the concurrency a host really bears (Concurrency), and the hosts
-// of a service (Pool).
+// Package admission controls the use of scarce resources under load: the slots
+// of a backend server or gateway (Limiter), the packet processing of a balancer
+// (Scheduler), the concurrency that a backend server sustains
+// (ConcurrencyLimit), and the choice among the backend servers of a service
+// (Pool).
 //
-// All types are pure: time and randomness are passed in. None is safe for
-// concurrent use.
+// The types have no clock or random source of their own: time and random
+// numbers are arguments. None of them is safe for concurrent use.
 package admission
 
 import (
@@ -12,26 +13,27 @@
 	"time"
 )
 
-// Class describes one class of work that shares slots with others.
+// Class describes one class of requests that shares slots with other classes.
 type Class struct {
-	// Name of the class, for people.
+	// Name is the display name of the class.
 	Name string
-	// Share is the class's part of the slots relative to the other classes'.
-	// It must be positive.
+	// Share is the weight of the class in the division of the slots among all
+	// classes. It must be positive.
 	Share int
-	// MaxWait bounds the time in the queue.
+	// MaxWait is the maximum time in the queue.
 	MaxWait time.Duration
-	// MaxQueue bounds the length of the queue.
+	// MaxQueue is the maximum length of the queue.
 	MaxQueue int
 }
 
-// Request is one unit of work that asks for a slot.
+// Request is one request for a slot.
 type Request struct {
-	// ID is unique among the requests that wait or run.
+	// ID is unique among the requests that are queued or admitted.
 	ID uint64
 	// Class is the index of the class.
 	Class int
-	// Deadline ends the request. It is shed if it could not finish by then.
+	// Deadline is the time by which the request must end. The request is shed
+	// if it is not expected to end by then.
 	Deadline time.Time
 }
 
@@ -40,91 +42,93 @@
 
 // The verdicts of a Limiter.
 const (
-	Admit Verdict = iota // it has a slot
-	Queue                // it is queued
-	Shed                 // it was refused and holds nothing
+	Admit Verdict = iota // the request has a slot
+	Queue                // the request waits in the queue of its class
+	Shed                 // the request was rejected and holds no slot
 )
 
-// Decision is a verdict on one request.
+// Decision is the verdict on one request.
 type Decision struct {
 	ID      uint64
 	Verdict Verdict
-	// RetryAfter is when a shed request may find room.
+	// RetryAfter is the time after which a shed request may be admitted.
 	RetryAfter time.Duration
 }
 
-type queued struct {
+type queuedRequest struct {
 	id      uint64
 	expires time.Time
 }
 
-// classState is a class with its queue and what it uses.
+// classState is the state of a class: its queue and its use of slots.
 type classState struct {
 	Class
-	queue []queued
+	queue []queuedRequest
 	inUse int
-	// service is the mean time a slot is held.
-	service time.Duration
-	// usage is the decayed mean of inUse, as of the time used.
-	usage float64
-	used  time.Time
+	// meanHoldTime is the moving mean of the time that a slot is held.
+	meanHoldTime time.Duration
+	// meanInUse is the exponentially decayed mean of inUse at meanUpdatedAt.
+	meanInUse     float64
+	meanUpdatedAt time.Time
 }
 
-// settle brings the mean usage up to now.
-func (c *classState) settle(now time.Time) {
-	passed := now.Sub(c.used)
-	if passed <= 0 {
+// updateMean decays meanInUse up to now.
+func (c *classState) updateMean(now time.Time) {
+	elapsed := now.Sub(c.meanUpdatedAt)
+	if elapsed <= 0 {
 		return
 	}
-	c.usage += (float64(c.inUse) - c.usage) * -math.Expm1(-float64(passed)/float64(usageTime))
-	c.used = now
+	c.meanInUse += (float64(c.inUse) - c.meanInUse) * -math.Expm1(-float64(elapsed)/float64(meanTimeConstant))
+	c.meanUpdatedAt = now
 }
 
-// claim is the part of its share that c takes: the mean of what it holds now
-// and what it held lately. A class that stays below its share may go beyond it
-// for a moment; one that begins to flood is stopped at once.
-func (c *classState) claim(now time.Time) float64 {
-	c.settle(now)
-	return (float64(c.inUse) + c.usage) / float64(c.Share)
+// relativeUsage returns the use of slots relative to the class's share: the sum
+// of the current and the mean number of slots in use, divided by the share. A
+// class that has stayed below its share may exceed it briefly; a class that
+// starts to flood is limited at once.
+func (c *classState) relativeUsage(now time.Time) float64 {
+	c.updateMean(now)
+	return (float64(c.inUse) + c.meanInUse) / float64(c.Share)
 }
 
-// Limiter hands out slots. A class may use slots that are idle beyond its
-// share; as soon as a slot comes free it goes to the class that takes the
-// smallest part of its share.
+// Limiter assigns slots to requests. A class may use idle slots beyond its
+// share. A slot that becomes free goes to the class with the lowest use
+// relative to its share.
 type Limiter struct {
-	slots   int
-	inUse   int
-	classes []classState
-	shares  int
-	// waiting holds the classes with a queue, and may hold some without.
-	waiting []int
-	started map[uint64]running
-	out     []Decision
+	slots       int
+	inUse       int
+	classes     []classState
+	totalShares int
+	// queuedClasses are the classes with queued requests, in the order in which
+	// their queues became nonempty. Some of the queues may be empty again.
+	queuedClasses []int
+	running       map[uint64]runningRequest
+	decisions     []Decision
 }
 
-type running struct {
-	class int
-	since time.Time
+type runningRequest struct {
+	class      int
+	admittedAt time.Time
 }
 
 const (
-	// firstService is the service time that is assumed before the first
-	// request has ended.
-	firstService = 10 * time.Millisecond
-	// usageTime is the time constant of a class's mean usage.
-	usageTime = time.Second
-	// smoothing is the divisor of the moving means.
-	smoothing = 16
-	// minRetryAfter is the shortest pause that is asked of callers.
+	// initialHoldTime is the hold time that is assumed before the first request
+	// has ended.
+	initialHoldTime = 10 * time.Millisecond
+	// meanTimeConstant is the time constant of meanInUse.
+	meanTimeConstant = time.Second
+	// smoothingDivisor is the divisor of the moving means.
+	smoothingDivisor = 16
+	// minRetryAfter is the shortest Decision.RetryAfter.
 	minRetryAfter = time.Second
 )
 
-// NewLimiter returns a limiter with the given slots and classes.
+// NewLimiter returns a limiter with the given number of slots and classes.
 func NewLimiter(slots int, classes []Class) *Limiter {
-	l := &Limiter{slots: slots, started: make(map[uint64]running)}
+	l := &Limiter{slots: slots, running: make(map[uint64]runningRequest)}
 	for _, c := range classes {
-		l.classes = append(l.classes, classState{Class: c, service: firstService})
-		l.shares += c.Share
+		l.classes = append(l.classes, classState{Class: c, meanHoldTime: initialHoldTime})
+		l.totalShares += c.Share
 	}
 	return l
 }
@@ -135,81 +139,83 @@
 // Slots returns the number of slots.
 func (l *Limiter) Slots() int { return l.slots }
 
-// QueueLength returns the number of requests of a class that wait.
+// QueueLength returns the number of queued requests of a class.
 func (l *Limiter) QueueLength(class int) int { return len(l.classes[class].queue) }
 
-// SetSlots changes the number of slots, as a host warms up or its limit is
-// adapted. Slots in use are not taken back.
+// SetSlots changes the number of slots, for example while a backend server
+// warms up or when its limit is adapted. Slots in use are not revoked. The
+// slice is valid until the next call.
 func (l *Limiter) SetSlots(now time.Time, slots int) []Decision {
-	l.out = l.out[:0]
+	l.decisions = l.decisions[:0]
 	l.slots = slots
-	l.fill(now)
-	return l.out
+	l.admitQueued(now)
+	return l.decisions
 }
 
 // Acquire decides on a new request. The last decision is on the request itself;
-// any before it are on requests of its class that waited too long. The slice
-// is valid until the next call.
+// the decisions before it are on requests of its class that exceeded their time
+// in the queue. The slice is valid until the next call.
 func (l *Limiter) Acquire(now time.Time, r Request) []Decision {
-	l.out = l.out[:0]
+	l.decisions = l.decisions[:0]
 	c := &l.classes[r.Class]
-	l.purge(now, c)
-	if l.inUse < l.slots && l.neediest(now) < 0 {
-		l.start(now, r.ID, r.Class)
-		l.out = append(l.out, Decision{ID: r.ID, Verdict: Admit})
-		return l.out
+	l.shedExpiredOf(now, c)
+	if l.inUse < l.slots && l.leastServedClass(now) < 0 {
+		l.admit(now, r.ID, r.Class)
+		l.decisions = append(l.decisions, Decision{ID: r.ID, Verdict: Admit})
+		return l.decisions
 	}
 	wait := l.expectedWait(c)
-	limit := min(c.MaxWait, r.Deadline.Sub(now)-c.service)
-	if len(c.queue) >= c.MaxQueue || wait > limit {
-		l.out = append(l.out, Decision{ID: r.ID, Verdict: Shed, RetryAfter: max(wait, minRetryAfter)})
-		return l.out
+	maxWait := min(c.MaxWait, r.Deadline.Sub(now)-c.meanHoldTime)
+	if len(c.queue) >= c.MaxQueue || wait > maxWait {
+		l.decisions = append(l.decisions, Decision{ID: r.ID, Verdict: Shed, RetryAfter: max(wait, minRetryAfter)})
+		return l.decisions
 	}
 	if len(c.queue) == 0 {
-		l.waiting = append(l.waiting, r.Class)
+		l.queuedClasses = append(l.queuedClasses, r.Class)
 	}
-	c.queue = append(c.queue, queued{id: r.ID, expires: now.Add(limit)})
-	l.out = append(l.out, Decision{ID: r.ID, Verdict: Queue})
-	return l.out
+	c.queue = append(c.queue, queuedRequest{id: r.ID, expires: now.Add(maxWait)})
+	l.decisions = append(l.decisions, Decision{ID: r.ID, Verdict: Queue})
+	return l.decisions
 }
 
-// expectedWait is the time until a request that joins c now would start, if
-// the class keeps the slots it has or is entitled to.
+// expectedWait returns the time until a request that is queued in c now would
+// be admitted, if the class keeps the greater of the slots in use and its
+// share.
 func (l *Limiter) expectedWait(c *classState) time.Duration {
-	reserve := float64(l.slots*c.Share) / float64(l.shares)
-	rate := max(reserve, float64(c.inUse))
-	return time.Duration(float64(c.service) * float64(len(c.queue)) / rate)
+	reserved := float64(l.slots*c.Share) / float64(l.totalShares)
+	usable := max(reserved, float64(c.inUse))
+	return time.Duration(float64(c.meanHoldTime) * float64(len(c.queue)) / usable)
 }
 
-func (l *Limiter) start(now time.Time, id uint64, class int) {
+func (l *Limiter) admit(now time.Time, id uint64, class int) {
 	c := &l.classes[class]
-	c.settle(now)
+	c.updateMean(now)
 	c.inUse++
 	l.inUse++
-	l.started[id] = running{class: class, since: now}
+	l.running[id] = runningRequest{class: class, admittedAt: now}
 }
 
-// Release returns the slot of a request that ended, or takes one that waits
-// out of its queue. The decisions are on requests that waited; the slice is
-// valid until the next call.
+// Release frees the slot of a request that ended, or removes a queued request
+// from its queue. The decisions are on queued requests; the slice is valid
+// until the next call.
 func (l *Limiter) Release(now time.Time, id uint64) []Decision {
-	l.out = l.out[:0]
-	r, ok := l.started[id]
+	l.decisions = l.decisions[:0]
+	r, ok := l.running[id]
 	if !ok {
-		l.withdraw(id)
-		return l.out
+		l.removeQueued(id)
+		return l.decisions
 	}
-	delete(l.started, id)
+	delete(l.running, id)
 	c := &l.classes[r.class]
-	c.settle(now)
+	c.updateMean(now)
 	c.inUse--
 	l.inUse--
-	c.service += (now.Sub(r.since) - c.service) / smoothing
-	l.fill(now)
-	return l.out
+	c.meanHoldTime += (now.Sub(r.admittedAt) - c.meanHoldTime) / smoothingDivisor
+	l.admitQueued(now)
+	return l.decisions
 }
 
-func (l *Limiter) withdraw(id uint64) {
+func (l *Limiter) removeQueued(id uint64) {
 	for i := range l.classes {
 		c := &l.classes[i]
 		for j := range c.queue {
@@ -221,56 +227,58 @@
 	}
 }
 
-// ShedExpired sheds requests that have waited too long.
+// ShedExpired sheds the queued requests that exceeded their time in the queue.
+// The slice is valid until the next call.
 func (l *Limiter) ShedExpired(now time.Time) []Decision {
-	l.out = l.out[:0]
-	for _, i := range l.waiting {
-		l.purge(now, &l.classes[i])
+	l.decisions = l.decisions[:0]
+	for _, i := range l.queuedClasses {
+		l.shedExpiredOf(now, &l.classes[i])
 	}
-	return l.out
+	return l.decisions
 }
 
-// purge sheds the requests at the head of c's queue whose time is over.
-func (l *Limiter) purge(now time.Time, c *classState) {
+// shedExpiredOf sheds the expired requests at the head of c's queue.
+func (l *Limiter) shedExpiredOf(now time.Time, c *classState) {
 	n := 0
 	for n < len(c.queue) && !c.queue[n].expires.After(now) {
-		l.out = append(l.out, Decision{ID: c.queue[n].id, Verdict: Shed, RetryAfter: max(l.expectedWait(c), minRetryAfter)})
+		l.decisions = append(l.decisions, Decision{ID: c.queue[n].id, Verdict: Shed, RetryAfter: max(l.expectedWait(c), minRetryAfter)})
 		n++
 	}
 	c.queue = c.queue[n:]
 }
 
-// fill starts requests that wait while slots are free.
-func (l *Limiter) fill(now time.Time) {
+// admitQueued admits queued requests while slots are free.
+func (l *Limiter) admitQueued(now time.Time) {
 	for l.inUse < l.slots {
-		i := l.neediest(now)
+		i := l.leastServedClass(now)
 		if i < 0 {
 			return
 		}
 		c := &l.classes[i]
 		id := c.queue[0].id
 		c.queue = c.queue[1:]
-		l.start(now, id, i)
-		l.out = append(l.out, Decision{ID: id, Verdict: Admit})
+		l.admit(now, id, i)
+		l.decisions = append(l.decisions, Decision{ID: id, Verdict: Admit})
 	}
 }
 
-// neediest returns the class that waits and takes the smallest part of its
-// share, or -1. Ties go to the class that began to wait first.
-func (l *Limiter) neediest(now time.Time) int {
-	best, least, kept := -1, 0.0, 0
-	for _, i := range l.waiting {
+// leastServedClass returns the class with queued requests whose use relative to
+// its share is lowest, or -1. Ties go to the class that has had a queue for
+// longest.
+func (l *Limiter) leastServedClass(now time.Time) int {
+	best, least, nonempty := -1, 0.0, 0
+	for _, i := range l.queuedClasses {
 		c := &l.classes[i]
-		l.purge(now, c)
+		l.shedExpiredOf(now, c)
 		if len(c.queue) == 0 {
 			continue
 		}
-		l.waiting[kept] = i
-		kept++
-		if claim := c.claim(now); best < 0 || claim < least {
-			best, least = i, claim
+		l.queuedClasses[nonempty] = i
+		nonempty++
+		if usage := c.relativeUsage(now); best < 0 || usage < least {
+			best, least = i, usage
 		}
 	}
-	l.waiting = l.waiting[:kept]
+	l.queuedClasses = l.queuedClasses[:nonempty]
 	return best
 }
--- a/core/admission/admission_test.go
+++ b/core/admission/admission_test.go
@@ -11,27 +11,27 @@
 
 var t0 = time.Unix(1000, 0)
 
-func testLimiter() *Limiter {
+func newTestLimiter() *Limiter {
 	return NewLimiter(4, []Class{
 		{Name: "a", Share: 1, MaxWait: 100 * time.Millisecond, MaxQueue: 3},
 		{Name: "b", Share: 1, MaxWait: 100 * time.Millisecond, MaxQueue: 3},
 	})
 }
 
-func arrive(l *Limiter, now time.Time, id uint64, class int) Decision {
+func acquire(l *Limiter, now time.Time, id uint64, class int) Decision {
 	ds := l.Acquire(now, Request{ID: id, Class: class, Deadline: now.Add(time.Minute)})
 	return ds[len(ds)-1]
 }
 
-func TestIdleShareIsLentAndGivenBackFirst(t *testing.T) {
+func TestIdleSlotsAreLentAndReturnToTheirClassFirst(t *testing.T) {
 	is := is.New(t)
-	l := testLimiter()
+	l := newTestLimiter()
 	for id := range uint64(4) {
-		is.Equal(arrive(l, t0, id, 0).Verdict, Admit) // beyond the share of two
+		is.Equal(acquire(l, t0, id, 0).Verdict, Admit) // exceeds the share of two
 	}
-	is.Equal(arrive(l, t0, 4, 0).Verdict, Queue)
-	is.Equal(arrive(l, t0, 5, 1).Verdict, Queue)
-	is.Equal(arrive(l, t0, 6, 1).Verdict, Queue)
+	is.Equal(acquire(l, t0, 4, 0).Verdict, Queue)
+	is.Equal(acquire(l, t0, 5, 1).Verdict, Queue)
+	is.Equal(acquire(l, t0, 6, 1).Verdict, Queue)
 	now := t0.Add(10 * time.Millisecond)
 	is.Equal(l.Release(now, 0), []Decision{{ID: 5, Verdict: Admit}})
 	is.Equal(l.Release(now, 1), []Decision{{ID: 6, Verdict: Admit}})
@@ -46,17 +46,17 @@
 		deadline time.Duration
 		want     Verdict
 	}{
-		{"room", 0, time.Minute, Queue},
+		{"room in the queue", 0, time.Minute, Queue},
 		{"queue full", 3, time.Minute, Shed},
-		{"could not end by its deadline", 0, firstService - 1, Shed},
-		{"wait would outlast its deadline", 2, firstService + time.Millisecond, Shed},
+		{"expected to end after its deadline", 0, initialHoldTime - 1, Shed},
+		{"expected wait exceeds its deadline", 2, initialHoldTime + time.Millisecond, Shed},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			l := testLimiter()
+			l := newTestLimiter()
 			for id := range uint64(4 + tt.queue) {
-				arrive(l, t0, id, 0)
+				acquire(l, t0, id, 0)
 			}
 			ds := l.Acquire(t0, Request{ID: 99, Class: 0, Deadline: t0.Add(tt.deadline)})
 			is.Equal(ds[0].Verdict, tt.want)
@@ -65,13 +65,13 @@
 	}
 }
 
-func TestWaitingEndsInTime(t *testing.T) {
+func TestQueuedRequestsAreShedAtTheirLimit(t *testing.T) {
 	is := is.New(t)
-	l := testLimiter()
+	l := newTestLimiter()
 	for id := range uint64(6) {
-		arrive(l, t0, id, 0)
+		acquire(l, t0, id, 0)
 	}
-	l.Release(t0, 5) // withdrawn by its caller
+	l.Release(t0, 5) // canceled by its caller
 	is.Equal(l.QueueLength(0), 1)
 	is.Equal(len(l.ShedExpired(t0.Add(99*time.Millisecond))), 0)
 	ds := l.Acquire(t0.Add(100*time.Millisecond), Request{ID: 7, Class: 0, Deadline: t0.Add(time.Minute)})
@@ -82,7 +82,7 @@
 	is.Equal(l.SetSlots(t0.Add(101*time.Millisecond), 5), []Decision{{ID: 7, Verdict: Admit}})
 }
 
-func TestConcurrencyFollowsLatency(t *testing.T) {
+func TestConcurrencyLimitFollowsLatency(t *testing.T) {
 	is := is.New(t)
 	c := NewConcurrencyLimit(ConcurrencyLimitOptions{Min: 1, Max: 4, MaxLatencyRatio: 2, SampleWindow: 4})
 	observe := func(n int, latency time.Duration, failed bool) {
@@ -92,7 +92,7 @@
 	}
 	observe(4, 10*time.Millisecond, false)
 	is.Equal(c.Limit(), 4)
-	observe(12, 50*time.Millisecond, false) // the host bears less than it reports
+	observe(12, 50*time.Millisecond, false) // the backend server sustains less than it reports
 	is.Equal(c.Limit(), 1)
 	observe(12, 10*time.Millisecond, false)
 	is.Equal(c.Limit(), 4)
@@ -109,7 +109,7 @@
 	is.Equal(Ramp{}.FractionAt(t0), 1.0)
 }
 
-func testPool(hosts ...BackendServer) *Pool {
+func newTestPool(hosts ...BackendServer) *Pool {
 	p := NewPool(PoolOptions{
 		Zone: "z0", CrossZoneCost: 6 * time.Millisecond, ReportHalfLife: time.Second, EjectAfterFailures: 3,
 		BaseEjectionTime: time.Second, MaxEjectedFraction: 0.5, SlowStartDuration: 10 * time.Second,
@@ -121,8 +121,9 @@
 	return p
 }
 
-// share counts the picks of each host by a given number of picks in flight.
-func share(p *Pool, now time.Time, picks int) map[string]int {
+// countPicks returns how often each backend server is picked by the given
+// number of picks, all in flight at once.
+func countPicks(p *Pool, now time.Time, picks int) map[string]int {
 	rng := rand.New(rand.NewPCG(1, 1))
 	n := make(map[string]int)
 	for range picks {
@@ -137,38 +138,38 @@
 	return n
 }
 
-func TestOwnZoneFirstUntilItCostsMore(t *testing.T) {
+func TestSameZonePreferredUntilCostlier(t *testing.T) {
 	is := is.New(t)
-	p := testPool(BackendServer{ID: "near", Zone: "z0"}, BackendServer{ID: "far", Zone: "z1"})
-	is.Equal(share(p, t0, 3)["far"], 0)
-	n := share(p, t0, 40)
+	p := newTestPool(BackendServer{ID: "near", Zone: "z0"}, BackendServer{ID: "far", Zone: "z1"})
+	is.Equal(countPicks(p, t0, 3)["far"], 0)
+	n := countPicks(p, t0, 40)
 	is.True(n["far"] > 10)
 	is.True(n["near"] > n["far"])
 }
 
-func TestReportsDecay(t *testing.T) {
+func TestReportedLoadDecays(t *testing.T) {
 	is := is.New(t)
-	p := testPool(BackendServer{ID: "a", Zone: "z0"}, BackendServer{ID: "b", Zone: "z0"})
+	p := newTestPool(BackendServer{ID: "a", Zone: "z0"}, BackendServer{ID: "b", Zone: "z0"})
 	p.ReportLoad(t0, "a", 8)
-	is.Equal(share(p, t0, 6)["a"], 0)
-	n := share(p, t0.Add(20*time.Second), 40)
+	is.Equal(countPicks(p, t0, 6)["a"], 0)
+	n := countPicks(p, t0.Add(20*time.Second), 40)
 	is.True(n["a"] >= 15 && n["b"] >= 15)
 }
 
-func TestShedLowersWeightWithoutEjecting(t *testing.T) {
+func TestRejectionsLowerHealthWithoutEjection(t *testing.T) {
 	is := is.New(t)
-	p := testPool(BackendServer{ID: "a", Zone: "z0"}, BackendServer{ID: "b", Zone: "z0"})
+	p := newTestPool(BackendServer{ID: "a", Zone: "z0"}, BackendServer{ID: "b", Zone: "z0"})
 	for range 20 {
 		p.Done(t0, "a", Rejected, 0)
 	}
 	is.Equal(p.EjectedCount(), 0)
-	n := share(p, t0, 40)
+	n := countPicks(p, t0, 40)
 	is.True(n["a"] > 0 && n["a"] < n["b"]/4)
 }
 
-func TestEjectedHostReturnsByProbe(t *testing.T) {
+func TestEjectedServerReturnsAfterProbe(t *testing.T) {
 	is := is.New(t)
-	p := testPool(BackendServer{ID: "a", Zone: "z0"}, BackendServer{ID: "b", Zone: "z0"})
+	p := newTestPool(BackendServer{ID: "a", Zone: "z0"}, BackendServer{ID: "b", Zone: "z0"})
 	fail := func(id string) {
 		for range 3 {
 			p.Done(t0, id, Failed, 0)
@@ -176,36 +177,37 @@
 	}
 	fail("a")
 	fail("b")
-	is.Equal(p.EjectedCount(), 1) // never more than half
-	is.Equal(share(p, t0, 20)["a"], 0)
+	is.Equal(p.EjectedCount(), 1) // at most half are ejected
+	is.Equal(countPicks(p, t0, 20)["a"], 0)
 	due := func(after time.Duration) bool {
 		id, ok := p.NextProbe(t0.Add(after))
 		return ok && id == "a"
 	}
 	is.True(!due(999 * time.Millisecond))
 	is.True(due(time.Second))
-	is.True(!due(time.Second)) // one at a time
+	is.True(!due(time.Second)) // one probe at a time
 	p.ProbeDone(t0.Add(time.Second), "a", false)
-	is.True(!due(2900 * time.Millisecond)) // twice as long
+	is.True(!due(2900 * time.Millisecond)) // the ejection time doubles
 	is.True(due(3 * time.Second))
 	p.ProbeDone(t0.Add(3*time.Second), "a", true)
 	is.Equal(p.EjectedCount(), 0)
-	n := share(p, t0.Add(3*time.Second), 40)
+	n := countPicks(p, t0.Add(3*time.Second), 40)
 	is.True(n["a"] < n["b"]/4) // slow start
-	n = share(p, t0.Add(13*time.Second), 40)
+	n = countPicks(p, t0.Add(13*time.Second), 40)
 	is.True(n["a"] >= 15)
 }
 
-func TestAllHostsExcluded(t *testing.T) {
+func TestPickFailsWithEveryServerExcluded(t *testing.T) {
 	is := is.New(t)
-	p := testPool(BackendServer{ID: "a", Zone: "z0"})
+	p := newTestPool(BackendServer{ID: "a", Zone: "z0"})
 	_, ok := p.Pick(t0, 0, []string{"a"})
 	is.True(!ok)
 }
 
-// TestSchedulerKeepsOthersWhole floods one service while others send their
-// share, and checks what comes out, in order, with the naive single queue beside it.
-func TestSchedulerKeepsOthersWhole(t *testing.T) {
+// TestSchedulerIsolatesServicesFromFlood floods one service while the others
+// send within their share. It guards against drops and delays of the others and
+// against reordering, and compares with a single FIFO queue.
+func TestSchedulerIsolatesServicesFromFlood(t *testing.T) {
 	is := is.New(t)
 	const capacity, rounds, flood = 256, 2000, 50
 	s := NewScheduler[int](capacity, 1)
@@ -227,7 +229,7 @@
 				}
 			}
 		}
-		for range 6 { // the processor handles six packets a round
+		for range 6 { // the processor handles six packets per round
 			if item, service, ok := s.Dequeue(); ok {
 				is.Equal(item, next[service]) // in order
 				next[service]++
@@ -246,7 +248,7 @@
 	is.Equal(got[0]+got[1]+got[2]+got[3], 6*rounds)
 }
 
-func TestSchedulerSharesBytes(t *testing.T) {
+func TestSchedulerIsFairInBytes(t *testing.T) {
 	is := is.New(t)
 	s := NewScheduler[int](4096, 1500)
 	got := [2]int{}
@@ -290,10 +292,10 @@
 }
 
 func BenchmarkLimiter(b *testing.B) {
-	l := testLimiter()
+	l := newTestLimiter()
 	b.ReportAllocs()
 	for i := range b.N {
-		arrive(l, t0, uint64(i), i%2)
+		acquire(l, t0, uint64(i), i%2)
 		l.Release(t0, uint64(i))
 	}
 }
@@ -303,7 +305,7 @@
 	for i := range 7 {
 		hosts = append(hosts, BackendServer{ID: fmt.Sprint("h", i), Zone: fmt.Sprint("z", i%4)})
 	}
-	p := testPool(hosts...)
+	p := newTestPool(hosts...)
 	rng := rand.New(rand.NewPCG(1, 1))
 	b.ReportAllocs()
 	for range b.N {
--- a/core/admission/concurrency.go
+++ b/core/admission/concurrency.go
@@ -2,91 +2,97 @@
 
 import "time"
 
-// ConcurrencyLimitOptions describe a Concurrency.
+// ConcurrencyLimitOptions configure a ConcurrencyLimit.
 type ConcurrencyLimitOptions struct {
-	// Min and Max bound the limit. Max is also where it starts.
+	// Min and Max bound the limit. Max is also the initial limit.
 	Min, Max int
-	// MaxLatencyRatio is how many times the unloaded latency is still acceptable.
+	// MaxLatencyRatio is the acceptable ratio of the mean latency to the
+	// unloaded latency.
 	MaxLatencyRatio float64
 	// SampleWindow is the number of requests after which the limit is adapted.
 	SampleWindow int
 }
 
-// ConcurrencyLimit finds how many requests a host bears at once, where its own
-// report of slots misleads: additive increase while latency stays near the
-// unloaded one, multiplicative decrease when it grows or requests fail.
+// ConcurrencyLimit estimates how many concurrent requests a backend server
+// sustains, for servers whose reported number of slots is wrong. It uses
+// additive increase while the latency stays near the unloaded latency, and
+// multiplicative decrease when the latency grows or a request fails.
 type ConcurrencyLimit struct {
-	o        ConcurrencyLimitOptions
-	limit    float64
-	unloaded time.Duration
-	sum      time.Duration
-	samples  int
-	failed   bool
-	full     bool
+	options     ConcurrencyLimitOptions
+	limit       float64
+	baseLatency time.Duration
+	latencySum  time.Duration
+	samples     int
+	hasFailure  bool
+	isSaturated bool
 }
 
 const (
-	// decrease is the factor applied to the limit of an overloaded host.
-	decrease = 0.75
-	// drift lets the unloaded latency follow a host that became slower for
-	// good: the divisor by which it rises towards each window's mean.
-	drift = 64
+	// decreaseFactor is applied to the limit of an overloaded backend server.
+	decreaseFactor = 0.75
+	// driftDivisor is the divisor by which the unloaded latency approaches the
+	// mean of each window, so that it adapts to a permanently slower backend
+	// server.
+	driftDivisor = 64
 )
 
 // NewConcurrencyLimit returns a limit that starts at o.Max.
 func NewConcurrencyLimit(o ConcurrencyLimitOptions) *ConcurrencyLimit {
-	return &ConcurrencyLimit{o: o, limit: float64(o.Max)}
+	return &ConcurrencyLimit{options: o, limit: float64(o.Max)}
 }
 
-// Limit returns the number of requests that may run at once.
+// Limit returns the maximum number of concurrent requests.
 func (c *ConcurrencyLimit) Limit() int { return int(c.limit) }
 
-// Observe reports a request that ended after latency while inFlight others ran.
+// Observe records a request that ended after latency, while inFlight other
+// requests were running.
 func (c *ConcurrencyLimit) Observe(latency time.Duration, inFlight int, failed bool) {
-	c.sum += latency
+	c.latencySum += latency
 	c.samples++
-	c.failed = c.failed || failed
-	c.full = c.full || inFlight+1 >= c.Limit()
-	if c.samples >= c.o.SampleWindow {
+	c.hasFailure = c.hasFailure || failed
+	c.isSaturated = c.isSaturated || inFlight+1 >= c.Limit()
+	if c.samples >= c.options.SampleWindow {
 		c.adapt()
 	}
 }
 
 func (c *ConcurrencyLimit) adapt() {
-	mean := c.sum / time.Duration(c.samples)
-	if c.unloaded == 0 || mean < c.unloaded {
-		c.unloaded = mean
+	mean := c.latencySum / time.Duration(c.samples)
+	if c.baseLatency == 0 || mean < c.baseLatency {
+		c.baseLatency = mean
 	}
 	switch {
-	case c.failed || float64(mean) > c.o.MaxLatencyRatio*float64(c.unloaded):
-		c.limit = max(c.limit*decrease, float64(c.o.Min))
-	case c.full:
-		c.limit = min(c.limit+1, float64(c.o.Max))
+	case c.hasFailure || float64(mean) > c.options.MaxLatencyRatio*float64(c.baseLatency):
+		c.limit = max(c.limit*decreaseFactor, float64(c.options.Min))
+	case c.isSaturated:
+		c.limit = min(c.limit+1, float64(c.options.Max))
 	}
-	c.unloaded += (mean - c.unloaded) / drift
-	c.sum, c.samples, c.failed, c.full = 0, 0, false, false
+	c.baseLatency += (mean - c.baseLatency) / driftDivisor
+	c.latencySum, c.samples, c.hasFailure, c.isSaturated = 0, 0, false, false
 }
 
-// Ramp raises a cold host from a first part of its capacity to the whole.
+// Ramp raises the capacity of a backend server that has just started from an
+// initial fraction to all of it.
 type Ramp struct {
-	// Start is when the host began.
+	// Start is the time at which the ramp begins.
 	Start time.Time
-	// Duration is the time to full capacity; 0 is full at once.
+	// Duration is the time until full capacity; 0 means full capacity at once.
 	Duration time.Duration
-	// InitialFraction is the part of the capacity at the start, from 0 to 1.
+	// InitialFraction is the fraction of the capacity at Start, from 0 to 1.
 	InitialFraction float64
 }
 
-// FractionAt returns the part of the capacity that may be used, from First to 1.
+// FractionAt returns the fraction of the capacity that may be used, from
+// InitialFraction to 1.
 func (r Ramp) FractionAt(now time.Time) float64 {
-	passed := now.Sub(r.Start)
-	if r.Duration <= 0 || passed >= r.Duration {
+	elapsed := now.Sub(r.Start)
+	if r.Duration <= 0 || elapsed >= r.Duration {
 		return 1
 	}
-	return r.InitialFraction + (1-r.InitialFraction)*max(0, float64(passed)/float64(r.Duration))
+	return r.InitialFraction + (1-r.InitialFraction)*max(0, float64(elapsed)/float64(r.Duration))
 }
 
-// SlotsAt returns the slots that may be used, at least one.
+// SlotsAt returns the number of slots that may be used, at least one.
 func (r Ramp) SlotsAt(now time.Time, slots int) int {
 	return max(1, int(r.FractionAt(now)*float64(slots)))
 }
--- a/core/admission/flood_sim_test.go
+++ b/core/admission/flood_sim_test.go
@@ -9,15 +9,15 @@
 	"fulmarmount.org/core/attempt"
 )
 
-// floodClass is one kind of work of a deployment.
+// floodClass is one class of requests of a deployment.
 type floodClass struct {
-	name    string
-	service int
-	share   int
-	mean    time.Duration // mean time in a slot, exponentially distributed
+	name        string
+	service     int
+	share       int
+	meanService time.Duration // mean time in a slot, exponentially distributed
 }
 
-// deployment has the sizes of one of the two users.
+// deployment has the sizes of one of the two users' deployments.
 type deployment struct {
 	name    string
 	zones   int
@@ -39,30 +39,30 @@
 }
 
 const (
-	hostSlots     = 4
-	gateways      = 3
-	gatewaySlots  = 128
-	handling      = 5 * time.Microsecond // of a gateway's processor per request
-	clientLink    = 3 * time.Millisecond
-	nearLink      = 500 * time.Microsecond
-	farLink       = 3500 * time.Microsecond
-	floodDeadline = 2 * time.Second
-	normalLoad    = 0.5 // of a class's reserved slots
-	floodWarmUp   = time.Second
-	retryRatio    = 0.1
-	naiveRetries  = 3
-	naiveTimeout  = time.Second
+	hostSlots      = 4
+	gateways       = 3
+	gatewaySlots   = 128
+	processingTime = 5 * time.Microsecond // per request at a gateway's processor
+	clientLink     = 3 * time.Millisecond
+	nearLink       = 500 * time.Microsecond
+	farLink        = 3500 * time.Microsecond
+	floodDeadline  = 2 * time.Second
+	normalLoad     = 0.5 // fraction of a class's share of the slots
+	floodWarmUp    = time.Second
+	retryRatio     = 0.1
+	naiveRetries   = 3
+	naiveTimeout   = time.Second
 )
 
 type floodEventKind uint8
 
 const (
-	evArrive floodEventKind = iota // at the gateway
-	evHandled
-	evReachHost
+	evGatewayArrival floodEventKind = iota // at the gateway
+	evProcessed
+	evHostArrival
 	evServed
 	evAnswer
-	evRefused
+	evRejected
 	evTimeout
 )
 
@@ -73,7 +73,7 @@
 	try  int32
 }
 
-// floodHeap is a binary heap without interfaces, for speed.
+// floodHeap is a binary heap; it avoids the interface calls of container/heap.
 type floodHeap []floodEvent
 
 func (h *floodHeap) push(e floodEvent) {
@@ -109,19 +109,19 @@
 }
 
 type floodRequest struct {
-	class, gateway int32
-	born           time.Duration
-	tries          int32
-	host           int32
-	sent, held     time.Duration
-	tried          []string
-	done           bool
+	class, gateway      int32
+	createdAt           time.Duration
+	tries               int32
+	host                int32
+	sentAt, serviceTime time.Duration
+	triedHosts          []string
+	done                bool
 }
 
 type floodHost struct {
 	id, zone string
 	limiter  *Limiter
-	busy     int // of the naive host
+	busy     int // busy slots, in the naive version
 	queue    []floodEvent
 }
 
@@ -137,10 +137,11 @@
 
 type classResult struct {
 	offered, answered int
-	// first and sends count the whole run, not its measured part.
-	first, sends int
-	// busy is the slot time of answers that came in time.
-	busy      time.Duration
+	// firstSends and sends count the whole run, not only the measured span.
+	firstSends, sends int
+	// slotTime is the slot time of the responses that arrived by their
+	// deadline.
+	slotTime  time.Duration
 	latencies []time.Duration
 }
 
@@ -154,7 +155,7 @@
 	return c.latencies[len(c.latencies)*99/100]
 }
 
-// floodRun is one run in virtual time: callers, gateways, links and hosts.
+// floodRun simulates callers, gateways, links and hosts in virtual time.
 type floodRun struct {
 	d        deployment
 	naive    bool
@@ -166,29 +167,29 @@
 	gateways []floodGateway
 	// span is the measured time after the warm-up.
 	span time.Duration
-	// calm are the rates of normal load, rates those from the end of the
-	// warm-up on, in requests per second.
-	calm, rates []float64
-	results     []classResult
+	// normalRates are the request rates during the warm-up, rates those after
+	// it, in requests per second.
+	normalRates, rates []float64
+	results            []classResult
 }
 
-func epoch(d time.Duration) time.Time { return time.Unix(0, 0).Add(d) }
+func timeAt(d time.Duration) time.Time { return time.Unix(0, 0).Add(d) }
 
-// floodOf runs d with class flooded at factor times the capacity of its whole
-// service; factor 0 is normal load of all classes.
-func floodOf(d deployment, flooded int, factor float64, span time.Duration, naive bool) []classResult {
+// runFlood simulates d with one class flooded at factor times the capacity of
+// its whole service; with factor 0 all classes run at normal load.
+func runFlood(d deployment, flooded int, factor float64, span time.Duration, naive bool) []classResult {
 	f := &floodRun{d: d, span: span, naive: naive, rng: rand.New(rand.NewPCG(1, 2)), results: make([]classResult, len(d.classes))}
 	f.build()
 	for i, c := range d.classes {
-		capacity := float64(d.hosts[c.service]*hostSlots) / c.mean.Seconds()
-		calm := normalLoad * capacity * float64(c.share) / float64(f.shares(c.service))
-		rate := calm
+		capacity := float64(d.hosts[c.service]*hostSlots) / c.meanService.Seconds()
+		normal := normalLoad * capacity * float64(c.share) / float64(f.shares(c.service))
+		rate := normal
 		if i == flooded && factor > 0 {
 			rate = factor * capacity
 		}
-		f.calm = append(f.calm, calm)
+		f.normalRates = append(f.normalRates, normal)
 		f.rates = append(f.rates, rate)
-		f.arrival(i)
+		f.scheduleArrival(i)
 	}
 	for len(f.events) > 0 {
 		e := f.events.pop()
@@ -213,28 +214,28 @@
 
 func (f *floodRun) build() {
 	zone := func(i int) string { return fmt.Sprint("z", i%f.d.zones) }
-	var all []Class
+	var gatewayClasses []Class
 	for _, c := range f.d.classes {
-		all = append(all, Class{Name: c.name, Share: c.share, MaxWait: 100 * time.Millisecond, MaxQueue: 64})
+		gatewayClasses = append(gatewayClasses, Class{Name: c.name, Share: c.share, MaxWait: 100 * time.Millisecond, MaxQueue: 64})
 	}
 	members := make([][]BackendServer, len(f.d.hosts))
 	for s, n := range f.d.hosts {
-		own := slices.Clone(all)
-		for i := range own {
+		hostClasses := slices.Clone(gatewayClasses)
+		for i := range hostClasses {
 			if f.d.classes[i].service != s {
-				own[i].Share = 0
+				hostClasses[i].Share = 0
 			}
-			own[i].MaxQueue = 16
+			hostClasses[i].MaxQueue = 16
 		}
 		var hosts []floodHost
 		for i := range n {
-			hosts = append(hosts, floodHost{id: fmt.Sprint(i), zone: zone(i), limiter: NewLimiter(hostSlots, own)})
+			hosts = append(hosts, floodHost{id: fmt.Sprint(i), zone: zone(i), limiter: NewLimiter(hostSlots, hostClasses)})
 			members[s] = append(members[s], BackendServer{ID: fmt.Sprint(i), Zone: zone(i), Slots: hostSlots, Weight: 1})
 		}
 		f.hosts = append(f.hosts, hosts)
 	}
 	for g := range gateways {
-		gw := floodGateway{zone: zone(g), scheduler: NewScheduler[int32](4096, 1), limiter: NewLimiter(gatewaySlots, all)}
+		gw := floodGateway{zone: zone(g), scheduler: NewScheduler[int32](4096, 1), limiter: NewLimiter(gatewaySlots, gatewayClasses)}
 		for s := range f.d.hosts {
 			p := NewPool(PoolOptions{Zone: zone(g), CrossZoneCost: 2 * (farLink - nearLink), ReportHalfLife: time.Second, EjectAfterFailures: 5, BaseEjectionTime: time.Second, MaxEjectedFraction: 0.5})
 			p.SetBackendServers(members[s])
@@ -245,51 +246,51 @@
 	}
 }
 
-func (f *floodRun) at(d time.Duration, kind floodEventKind, req int32) {
+func (f *floodRun) schedule(d time.Duration, kind floodEventKind, req int32) {
 	f.events.push(floodEvent{at: f.now + d, kind: kind, req: req, try: f.requests[req].tries})
 }
 
-// arrival schedules the next request of a class.
-func (f *floodRun) arrival(class int) {
+// scheduleArrival schedules the next request of a class.
+func (f *floodRun) scheduleArrival(class int) {
 	rate := f.rates[class]
 	if f.now < floodWarmUp {
-		rate = f.calm[class]
+		rate = f.normalRates[class]
 	}
 	gap := time.Duration(f.rng.ExpFloat64() / rate * float64(time.Second))
 	f.requests = append(f.requests, floodRequest{
-		class: int32(class), gateway: int32(f.rng.IntN(gateways)), born: f.now + gap - clientLink,
+		class: int32(class), gateway: int32(f.rng.IntN(gateways)), createdAt: f.now + gap - clientLink,
 	})
-	f.at(gap, evArrive, int32(len(f.requests)-1))
+	f.schedule(gap, evGatewayArrival, int32(len(f.requests)-1))
 }
 
-func (f *floodRun) measured(r *floodRequest) bool {
-	return r.born >= floodWarmUp && r.born < floodWarmUp+f.span
+func (f *floodRun) isMeasured(r *floodRequest) bool {
+	return r.createdAt >= floodWarmUp && r.createdAt < floodWarmUp+f.span
 }
 
 func (f *floodRun) handle(e floodEvent) {
 	r := &f.requests[e.req]
 	switch e.kind {
-	case evArrive:
-		if f.measured(r) {
+	case evGatewayArrival:
+		if f.isMeasured(r) {
 			f.results[r.class].offered++
 		}
 		class := int(r.class)
-		if r.born < floodWarmUp+f.span {
-			f.arrival(class)
+		if r.createdAt < floodWarmUp+f.span {
+			f.scheduleArrival(class)
 		}
 		f.enqueue(e.req)
-	case evHandled:
+	case evProcessed:
 		f.gateways[r.gateway].busy = false
 		f.admit(e.req)
 		f.process(int(r.gateway))
-	case evReachHost:
-		f.reachHost(e)
+	case evHostArrival:
+		f.hostArrival(e)
 	case evServed:
 		f.served(e)
 	case evAnswer:
 		f.answer(e)
-	case evRefused:
-		f.refused(e.req)
+	case evRejected:
+		f.rejected(e.req)
 	case evTimeout:
 		if !r.done && r.tries == e.try && r.tries <= naiveRetries {
 			f.send(e.req)
@@ -297,7 +298,7 @@
 	}
 }
 
-// enqueue puts a request into the queue of its gateway's processor.
+// enqueue adds a request to the queue of its gateway's processor.
 func (f *floodRun) enqueue(req int32) {
 	r := &f.requests[req]
 	g := &f.gateways[r.gateway]
@@ -329,7 +330,7 @@
 		}
 	}
 	g.busy = true
-	f.at(handling, evHandled, req)
+	f.schedule(processingTime, evProcessed, req)
 }
 
 func (f *floodRun) admit(req int32) {
@@ -339,13 +340,13 @@
 		return
 	}
 	g := &f.gateways[r.gateway]
-	f.decide(g.limiter.Acquire(epoch(f.now), Request{
-		ID: uint64(req), Class: int(r.class), Deadline: epoch(r.born + floodDeadline),
-	}), f.first)
+	f.startAdmitted(g.limiter.Acquire(timeAt(f.now), Request{
+		ID: uint64(req), Class: int(r.class), Deadline: timeAt(r.createdAt + floodDeadline),
+	}), f.sendFirst)
 }
 
-// decide acts on decisions: what starts goes on by start.
-func (f *floodRun) decide(ds []Decision, start func(int32)) {
+// startAdmitted calls start for the admitted requests.
+func (f *floodRun) startAdmitted(ds []Decision, start func(int32)) {
 	for _, d := range slices.Clone(ds) {
 		if d.Verdict == Admit {
 			start(int32(d.ID))
@@ -353,7 +354,7 @@
 	}
 }
 
-func (f *floodRun) first(req int32) {
+func (f *floodRun) sendFirst(req int32) {
 	r := &f.requests[req]
 	f.gateways[r.gateway].budgets[f.d.classes[r.class].service].Deposit()
 	f.send(req)
@@ -366,36 +367,36 @@
 	r.tries++
 	f.results[r.class].sends++
 	if r.tries == 1 {
-		f.results[r.class].first++
+		f.results[r.class].firstSends++
 	}
 	if f.naive {
 		r.host = int32(f.rng.IntN(len(f.hosts[service])))
-		f.at(naiveTimeout, evTimeout, req)
+		f.schedule(naiveTimeout, evTimeout, req)
 	} else {
-		id, ok := g.pools[service].Pick(epoch(f.now), f.rng.Uint64(), r.tried)
+		id, ok := g.pools[service].Pick(timeAt(f.now), f.rng.Uint64(), r.triedHosts)
 		if !ok {
-			f.leave(req)
+			f.releaseGatewaySlot(req)
 			return
 		}
 		r.host = int32(id[0] - '0')
-		r.tried = append(r.tried, id)
+		r.triedHosts = append(r.triedHosts, id)
 	}
-	r.sent = f.now
-	f.at(f.link(r), evReachHost, req)
+	r.sentAt = f.now
+	f.schedule(f.linkDelay(r), evHostArrival, req)
 }
 
 func (f *floodRun) host(r *floodRequest) *floodHost {
 	return &f.hosts[f.d.classes[r.class].service][r.host]
 }
 
-func (f *floodRun) link(r *floodRequest) time.Duration {
+func (f *floodRun) linkDelay(r *floodRequest) time.Duration {
 	if f.host(r).zone == f.gateways[r.gateway].zone {
 		return nearLink
 	}
 	return farLink
 }
 
-func (f *floodRun) reachHost(e floodEvent) {
+func (f *floodRun) hostArrival(e floodEvent) {
 	r := &f.requests[e.req]
 	h := f.host(r)
 	if f.naive {
@@ -403,30 +404,30 @@
 		f.serveNaive(h)
 		return
 	}
-	ds := h.limiter.Acquire(epoch(f.now), Request{
-		ID: uint64(e.req), Class: int(r.class), Deadline: epoch(r.born + floodDeadline - clientLink - f.link(r)),
+	ds := h.limiter.Acquire(timeAt(f.now), Request{
+		ID: uint64(e.req), Class: int(r.class), Deadline: timeAt(r.createdAt + floodDeadline - clientLink - f.linkDelay(r)),
 	})
-	f.atHost(ds)
+	f.applyHostDecisions(ds)
 }
 
-// atHost acts on the decisions of a host's limiter.
-func (f *floodRun) atHost(ds []Decision) {
+// applyHostDecisions applies the decisions of a host's limiter.
+func (f *floodRun) applyHostDecisions(ds []Decision) {
 	for _, d := range ds {
 		req := int32(d.ID)
 		switch d.Verdict {
 		case Admit:
-			f.at(f.serviceTime(req), evServed, req)
+			f.schedule(f.drawServiceTime(req), evServed, req)
 		case Shed:
-			f.at(f.link(&f.requests[req]), evRefused, req)
+			f.schedule(f.linkDelay(&f.requests[req]), evRejected, req)
 		case Queue:
 		}
 	}
 }
 
-func (f *floodRun) serviceTime(req int32) time.Duration {
-	mean := f.d.classes[f.requests[req].class].mean
+func (f *floodRun) drawServiceTime(req int32) time.Duration {
+	mean := f.d.classes[f.requests[req].class].meanService
 	held := time.Duration(f.rng.ExpFloat64() * float64(mean))
-	f.requests[req].held = held
+	f.requests[req].serviceTime = held
 	return held
 }
 
@@ -435,7 +436,7 @@
 		e := h.queue[0]
 		h.queue = h.queue[1:]
 		h.busy++
-		f.events.push(floodEvent{at: f.now + f.serviceTime(e.req), kind: evServed, req: e.req, try: e.try})
+		f.events.push(floodEvent{at: f.now + f.drawServiceTime(e.req), kind: evServed, req: e.req, try: e.try})
 	}
 }
 
@@ -446,26 +447,26 @@
 		h.busy--
 		f.serveNaive(h)
 	} else {
-		f.atHost(h.limiter.Release(epoch(f.now), uint64(e.req)))
+		f.applyHostDecisions(h.limiter.Release(timeAt(f.now), uint64(e.req)))
 	}
-	f.events.push(floodEvent{at: f.now + f.link(r), kind: evAnswer, req: e.req, try: e.try})
+	f.events.push(floodEvent{at: f.now + f.linkDelay(r), kind: evAnswer, req: e.req, try: e.try})
 }
 
 func (f *floodRun) answer(e floodEvent) {
 	r := &f.requests[e.req]
-	latency := f.now + clientLink - r.born
+	latency := f.now + clientLink - r.createdAt
 	c := &f.results[r.class]
 	inTime := !r.done && latency <= floodDeadline
 	if inTime && f.now >= floodWarmUp && f.now < floodWarmUp+f.span {
-		c.busy += r.held
+		c.slotTime += r.serviceTime
 	}
-	if inTime && f.measured(r) {
+	if inTime && f.isMeasured(r) {
 		c.answered++
 		c.latencies = append(c.latencies, latency)
 	}
 	if !f.naive {
-		f.pool(r).Done(epoch(f.now), f.host(r).id, Completed, f.now-r.sent)
-		f.leave(e.req)
+		f.pool(r).Done(timeAt(f.now), f.host(r).id, Completed, f.now-r.sentAt)
+		f.releaseGatewaySlot(e.req)
 	}
 	r.done = true
 }
@@ -474,20 +475,20 @@
 	return f.gateways[r.gateway].pools[f.d.classes[r.class].service]
 }
 
-func (f *floodRun) refused(req int32) {
+func (f *floodRun) rejected(req int32) {
 	r := &f.requests[req]
 	g := &f.gateways[r.gateway]
-	f.pool(r).Done(epoch(f.now), f.host(r).id, Rejected, 0)
-	if r.tries < 3 && f.now < r.born+floodDeadline && g.budgets[f.d.classes[r.class].service].Withdraw() {
+	f.pool(r).Done(timeAt(f.now), f.host(r).id, Rejected, 0)
+	if r.tries < 3 && f.now < r.createdAt+floodDeadline && g.budgets[f.d.classes[r.class].service].Withdraw() {
 		f.send(req)
 		return
 	}
-	f.leave(req)
+	f.releaseGatewaySlot(req)
 }
 
-// leave frees the request's slot at its gateway.
-func (f *floodRun) leave(req int32) {
+// releaseGatewaySlot ends a request and frees its slot at the gateway.
+func (f *floodRun) releaseGatewaySlot(req int32) {
 	r := &f.requests[req]
 	r.done = true
-	f.decide(f.gateways[r.gateway].limiter.Release(epoch(f.now), uint64(req)), f.first)
+	f.startAdmitted(f.gateways[r.gateway].limiter.Release(timeAt(f.now), uint64(req)), f.sendFirst)
 }
--- a/core/admission/flood_test.go
+++ b/core/admission/flood_test.go
@@ -10,12 +10,13 @@
 	"github.com/matryer/is"
 )
 
-// used returns the part of a service's slots that answered work took.
-func used(d deployment, service int, span time.Duration, rs []classResult) float64 {
+// utilization returns the fraction of a service's slot time that was spent on
+// requests answered by their deadline.
+func utilization(d deployment, service int, span time.Duration, rs []classResult) float64 {
 	var busy time.Duration
 	for i, c := range d.classes {
 		if c.service == service {
-			busy += rs[i].busy
+			busy += rs[i].slotTime
 		}
 	}
 	return busy.Seconds() / (float64(d.hosts[service]*hostSlots) * span.Seconds())
@@ -31,29 +32,30 @@
 	longSpan  = 4 * time.Second
 )
 
-// TestFloodTakesNothingFromOthers floods each class in turn and holds what the
-// other classes keep against the stated targets.
-func TestFloodTakesNothingFromOthers(t *testing.T) {
+// TestFloodDoesNotDegradeOtherClasses floods each class in turn, and checks the
+// goodput and p99 latency of the other classes, the retries, and the
+// utilization.
+func TestFloodDoesNotDegradeOtherClasses(t *testing.T) {
 	for _, d := range deployments {
-		calm := floodOf(d, -1, 0, shortSpan, false)
+		normal := runFlood(d, -1, 0, shortSpan, false)
 		for flooded, c := range d.classes {
 			for _, factor := range []float64{1, 10, 50} {
 				t.Run(fmt.Sprintf("%s/%s/%gx", d.name, c.name, factor), func(t *testing.T) {
 					is := is.New(t)
-					rs := floodOf(d, flooded, factor, shortSpan, false)
+					results := runFlood(d, flooded, factor, shortSpan, false)
 					sends, first := 0, 0
-					for i := range rs {
-						sends += rs[i].sends
-						first += rs[i].first
+					for i := range results {
+						sends += results[i].sends
+						first += results[i].firstSends
 						if i == flooded {
 							continue
 						}
-						is.True(rs[i].goodput() >= minOthersGoodput)
-						is.True(float64(rs[i].p99()) <= maxP99Ratio*float64(calm[i].p99()))
+						is.True(results[i].goodput() >= minOthersGoodput)
+						is.True(float64(results[i].p99()) <= maxP99Ratio*float64(normal[i].p99()))
 					}
 					is.True(float64(sends) <= float64(first)*(1+maxRetryShare))
 					if factor == 10 {
-						is.True(used(d, c.service, shortSpan, rs) >= minTotalGoodput)
+						is.True(utilization(d, c.service, shortSpan, results) >= minTotalGoodput)
 					}
 				})
 			}
@@ -61,16 +63,18 @@
 	}
 }
 
-// TestNaiveVersionLosesOthers shows that the floods are hard enough.
-func TestNaiveVersionLosesOthers(t *testing.T) {
+// TestFloodDegradesOtherClassesWithoutAdmission checks that the floods are hard
+// enough to degrade a system without admission control.
+func TestFloodDegradesOtherClassesWithoutAdmission(t *testing.T) {
 	is := is.New(t)
-	rs := floodOf(deployments[0], 0, 10, longSpan, true)
+	rs := runFlood(deployments[0], 0, 10, longSpan, true)
 	is.True(rs[1].goodput() < minOthersGoodput)
-	is.True(used(deployments[0], 0, longSpan, rs) < minTotalGoodput)
+	is.True(utilization(deployments[0], 0, longSpan, rs) < minTotalGoodput)
 }
 
-// BenchmarkFlood prints what every class keeps while each one floods, beside
-// the naive version: one queue, no shares, three retries.
+// BenchmarkFlood prints the goodput and latency of the other classes while each
+// class floods, with admission control and for the naive version: one queue, no
+// shares, three retries.
 func BenchmarkFlood(b *testing.B) {
 	for range b.N {
 		for _, d := range deployments {
@@ -84,28 +88,28 @@
 }
 
 func printFlood(out *strings.Builder, d deployment) {
-	calm := [2][]classResult{floodOf(d, -1, 0, longSpan, false), floodOf(d, -1, 0, longSpan, true)}
-	fmt.Fprintf(out, "%s: others' goodput and p99 against calm | slots used for answers | sends per first send\n", d.name)
+	normal := [2][]classResult{runFlood(d, -1, 0, longSpan, false), runFlood(d, -1, 0, longSpan, true)}
+	fmt.Fprintf(out, "%s: others' goodput and p99 against normal load | slots used for answers | sends per first send\n", d.name)
 	for flooded, c := range d.classes {
 		for _, factor := range []float64{1, 2, 5, 10, 50} {
 			fmt.Fprintf(out, "%-14s %3gx", c.name, factor)
 			for v, name := range []string{"shares", "naive"} {
-				rs := floodOf(d, flooded, factor, longSpan, v == 1)
+				rs := runFlood(d, flooded, factor, longSpan, v == 1)
 				worst, slowest := 1.0, 0.0
 				sends, first := 0, 0
 				for i := range rs {
 					sends += rs[i].sends
-					first += rs[i].first
+					first += rs[i].firstSends
 					if i != flooded {
 						worst = min(worst, rs[i].goodput())
-						slowest = max(slowest, float64(rs[i].p99())/float64(calm[v][i].p99()))
+						slowest = max(slowest, float64(rs[i].p99())/float64(normal[v][i].p99()))
 						if rs[i].answered == 0 {
 							slowest = math.Inf(1)
 						}
 					}
 				}
 				fmt.Fprintf(out, " | %s %5.1f%% p99 x%4.2f used %5.1f%% sends %.2f",
-					name, 100*worst, slowest, 100*used(d, c.service, longSpan, rs), float64(sends)/float64(first))
+					name, 100*worst, slowest, 100*utilization(d, c.service, longSpan, rs), float64(sends)/float64(first))
 			}
 			fmt.Fprintln(out)
 		}
--- a/core/admission/pool.go
+++ b/core/admission/pool.go
@@ -6,266 +6,273 @@
 	"time"
 )
 
-// BackendServer is one backend server of a service as the view has it.
+// BackendServer is one backend server of a service, as listed by the view.
 type BackendServer struct {
 	ID string
 	// Zone is the availability zone.
 	Zone string
-	// Slots is the number of requests it runs at once.
+	// Slots is the number of requests that it runs concurrently.
 	Slots int
-	// Weight is the share of new work, from 0 to 1.
+	// Weight is its relative weight for new requests, from 0 to 1.
 	Weight float64
 }
 
-// PoolOptions describe a Pool.
+// PoolOptions configure a Pool.
 type PoolOptions struct {
 	// Zone is the availability zone of this process.
 	Zone string
-	// CrossZoneCost is the cost of leaving the zone, as time added to a request.
+	// CrossZoneCost is added to the expected time of a request to another
+	// availability zone.
 	CrossZoneCost time.Duration
-	// ReportHalfLife is the time in which a report loses half of its weight.
+	// ReportHalfLife is the half-life of the weight of a load report.
 	ReportHalfLife time.Duration
-	// EjectAfterFailures is the number of failures in a row that eject a host.
+	// EjectAfterFailures is the number of consecutive failures after which a
+	// backend server is ejected.
 	EjectAfterFailures int
-	// BaseEjectionTime is the time until an ejected host is probed; it doubles with
-	// every probe that fails.
+	// BaseEjectionTime is the time until an ejected backend server is probed
+	// first. It doubles with every failed probe.
 	BaseEjectionTime time.Duration
-	// MaxEjectedFraction is the greatest part of the hosts that is ejected.
+	// MaxEjectedFraction is the maximum fraction of backend servers ejected at
+	// a time.
 	MaxEjectedFraction float64
-	// SlowStartDuration is the time in which a host that returns comes to its full
-	// weight.
+	// SlowStartDuration is the time in which a backend server returns to its
+	// full weight after an ejection.
 	SlowStartDuration time.Duration
 }
 
-// Outcome says how a request to a host ended.
+// Outcome is the result of a request to a backend server.
 type Outcome uint8
 
-// The endings that a Pool learns from.
+// The outcomes of a request.
 const (
-	Completed Outcome = iota
-	Rejected          // shed: the host works but is full
-	Failed            // no answer, or a broken one
-	Canceled          // ended from this side; says nothing about the host
+	Completed Outcome = iota // the whole response was received
+	Rejected                 // shed: the backend server works but is full
+	Failed                   // no response, or an incomplete one
+	Canceled                 // ended by this process; says nothing about the server
 )
 
-type host struct {
+type serverState struct {
 	BackendServer
 	inFlight int
 	latency  time.Duration
-	// others is the load of other gateways at the time of the last report.
-	others   float64
-	reported time.Time
-	// health falls with every refusal and rises with every answer.
-	health   float64
-	failures int
-	ejected  bool
-	probing  bool
-	probeAt  time.Time
-	backoff  time.Duration
-	ramp     Ramp
+	// otherLoad is the load of other gateways at reportedAt.
+	otherLoad  float64
+	reportedAt time.Time
+	// health falls with every rejection and rises with every completion.
+	health    float64
+	failures  int
+	isEjected bool
+	isProbing bool
+	probeAt   time.Time
+	backoff   time.Duration
+	ramp      Ramp
 }
 
-// Pool chooses among the hosts of one service: the cheaper of two, by what this
-// process has in flight, the hosts' decayed reports and the cost of the link.
+// Pool chooses among the backend servers of one service by the power of two
+// choices, with a first candidate in its own availability zone if there is one.
+// The cost of a candidate depends on the requests of this process in flight,
+// the decayed load reports, and the cost of crossing zones.
 type Pool struct {
-	o     PoolOptions
-	hosts []host
-	near  []int // candidates of Pick, kept to save allocations
-	all   []int
+	options  PoolOptions
+	servers  []serverState
+	sameZone []int // candidates of Pick; fields to avoid allocations
+	eligible []int
 }
 
 const (
-	refusalFactor  = 0.7
-	answerRecovery = 0.02
-	minHealth      = 0.1
-	rampFirst      = 0.1
-	firstLatency   = 10 * time.Millisecond
-	maxBackoff     = 32 // times EjectFor
+	rejectionFactor     = 0.7
+	completionRecovery  = 0.02
+	minHealth           = 0.1
+	initialRampFraction = 0.1
+	initialLatency      = 10 * time.Millisecond
+	maxBackoffFactor    = 32 // times BaseEjectionTime
 )
 
 // NewPool returns an empty pool.
-func NewPool(o PoolOptions) *Pool { return &Pool{o: o} }
+func NewPool(o PoolOptions) *Pool { return &Pool{options: o} }
 
-// SetBackendServers replaces the hosts. What is known of hosts that stay is kept.
-func (p *Pool) SetBackendServers(hosts []BackendServer) {
-	next := make([]host, len(hosts))
-	for i, h := range hosts {
-		next[i] = host{latency: firstLatency, health: 1}
-		if old := p.find(h.ID); old != nil {
+// SetBackendServers replaces the backend servers. The state of those that stay
+// is kept.
+func (p *Pool) SetBackendServers(servers []BackendServer) {
+	next := make([]serverState, len(servers))
+	for i, s := range servers {
+		next[i] = serverState{latency: initialLatency, health: 1}
+		if old := p.find(s.ID); old != nil {
 			next[i] = *old
 		}
-		next[i].BackendServer = h
+		next[i].BackendServer = s
 	}
-	p.hosts = next
+	p.servers = next
 }
 
-func (p *Pool) find(id string) *host {
-	for i := range p.hosts {
-		if p.hosts[i].ID == id {
-			return &p.hosts[i]
+func (p *Pool) find(id string) *serverState {
+	for i := range p.servers {
+		if p.servers[i].ID == id {
+			return &p.servers[i]
 		}
 	}
 	return nil
 }
 
-// Pick chooses a host that is not in exclude; random decides on the candidates.
-// If every host is ejected the ejected ones are candidates too. The choice must
-// be ended by Done.
+// Pick chooses a backend server that is not in exclude, using random to select
+// the candidates. If all others are ejected, ejected backend servers are
+// candidates too. Every pick must be followed by a call of Done.
 func (p *Pool) Pick(now time.Time, random uint64, exclude []string) (string, bool) {
-	p.candidates(exclude, false)
-	if len(p.all) == 0 {
-		p.candidates(exclude, true)
+	p.findCandidates(exclude, false)
+	if len(p.eligible) == 0 {
+		p.findCandidates(exclude, true)
 	}
-	if len(p.all) == 0 {
+	if len(p.eligible) == 0 {
 		return "", false
 	}
-	first := p.all
-	if len(p.near) > 0 {
-		first = p.near
+	candidates := p.eligible
+	if len(p.sameZone) > 0 {
+		candidates = p.sameZone
 	}
-	i := first[int(random&math.MaxUint32)%len(first)]
-	h := &p.hosts[i]
-	if other := p.other(i, random>>32); other != nil && p.cost(now, other) < p.cost(now, h) {
-		h = other
+	i := candidates[int(random&math.MaxUint32)%len(candidates)]
+	s := &p.servers[i]
+	if other := p.secondCandidate(i, random>>32); other != nil && p.cost(now, other) < p.cost(now, s) {
+		s = other
 	}
-	h.inFlight++
-	return h.ID, true
+	s.inFlight++
+	return s.ID, true
 }
 
-// other returns a candidate apart from host i, or nil.
-func (p *Pool) other(i int, random uint64) *host {
-	n := len(p.all) - 1
+// secondCandidate returns a candidate other than server i, or nil.
+func (p *Pool) secondCandidate(i int, random uint64) *serverState {
+	n := len(p.eligible) - 1
 	if n == 0 {
 		return nil
 	}
-	j := p.all[int(random)%n]
+	j := p.eligible[int(random)%n]
 	if j == i {
-		j = p.all[n]
+		j = p.eligible[n]
 	}
-	return &p.hosts[j]
+	return &p.servers[j]
 }
 
-func (p *Pool) candidates(exclude []string, ejected bool) {
-	p.near, p.all = p.near[:0], p.all[:0]
-	for i := range p.hosts {
-		h := &p.hosts[i]
-		if h.Weight <= 0 || h.ejected && !ejected || slices.Contains(exclude, h.ID) {
+func (p *Pool) findCandidates(exclude []string, ejected bool) {
+	p.sameZone, p.eligible = p.sameZone[:0], p.eligible[:0]
+	for i := range p.servers {
+		s := &p.servers[i]
+		if s.Weight <= 0 || s.isEjected && !ejected || slices.Contains(exclude, s.ID) {
 			continue
 		}
-		p.all = append(p.all, i)
-		if h.Zone == p.o.Zone {
-			p.near = append(p.near, i)
+		p.eligible = append(p.eligible, i)
+		if s.Zone == p.options.Zone {
+			p.sameZone = append(p.sameZone, i)
 		}
 	}
 }
 
-// cost is the expected time of one more request at h.
-func (p *Pool) cost(now time.Time, h *host) float64 {
-	age := now.Sub(h.reported)
-	load := float64(h.inFlight) + h.others*math.Exp2(-float64(age)/float64(p.o.ReportHalfLife))
-	capacity := float64(h.Slots) * h.Weight * h.health * h.ramp.FractionAt(now)
-	cost := (load + 1) * float64(h.latency) / capacity
-	if h.Zone != p.o.Zone {
-		cost += float64(p.o.CrossZoneCost)
+// cost returns the expected time of one more request at a backend server.
+func (p *Pool) cost(now time.Time, s *serverState) float64 {
+	age := now.Sub(s.reportedAt)
+	load := float64(s.inFlight) + s.otherLoad*math.Exp2(-float64(age)/float64(p.options.ReportHalfLife))
+	capacity := float64(s.Slots) * s.Weight * s.health * s.ramp.FractionAt(now)
+	cost := (load + 1) * float64(s.latency) / capacity
+	if s.Zone != p.options.Zone {
+		cost += float64(p.options.CrossZoneCost)
 	}
 	return cost
 }
 
-// ReportLoad takes the load that a host says it has.
+// ReportLoad records the load that a backend server reports.
 func (p *Pool) ReportLoad(now time.Time, id string, load int) {
-	if h := p.find(id); h != nil {
-		h.others = float64(max(0, load-h.inFlight))
-		h.reported = now
+	if s := p.find(id); s != nil {
+		s.otherLoad = float64(max(0, load-s.inFlight))
+		s.reportedAt = now
 	}
 }
 
-// Done ends a request that was sent to a host. Latency counts if it was
-// answered.
-func (p *Pool) Done(now time.Time, id string, end Outcome, latency time.Duration) {
-	h := p.find(id)
-	if h == nil {
+// Done records the outcome of a picked request. The latency is used only if the
+// request completed.
+func (p *Pool) Done(now time.Time, id string, outcome Outcome, latency time.Duration) {
+	s := p.find(id)
+	if s == nil {
 		return
 	}
-	h.inFlight = max(0, h.inFlight-1)
-	switch end {
+	s.inFlight = max(0, s.inFlight-1)
+	switch outcome {
 	case Completed:
-		h.failures = 0
-		h.health = min(1, h.health+answerRecovery)
-		h.latency += (latency - h.latency) / smoothing
+		s.failures = 0
+		s.health = min(1, s.health+completionRecovery)
+		s.latency += (latency - s.latency) / smoothingDivisor
 	case Rejected:
-		h.failures = 0
-		h.health = max(minHealth, h.health*refusalFactor)
+		s.failures = 0
+		s.health = max(minHealth, s.health*rejectionFactor)
 	case Failed:
-		h.failures++
-		p.eject(now, h)
+		s.failures++
+		p.eject(now, s)
 	case Canceled:
 	}
 }
 
-func (p *Pool) eject(now time.Time, h *host) {
-	if h.ejected || h.failures < p.o.EjectAfterFailures {
+func (p *Pool) eject(now time.Time, s *serverState) {
+	if s.isEjected || s.failures < p.options.EjectAfterFailures {
 		return
 	}
 	ejected := 1
-	for i := range p.hosts {
-		if p.hosts[i].ejected {
+	for i := range p.servers {
+		if p.servers[i].isEjected {
 			ejected++
 		}
 	}
-	if float64(ejected) > p.o.MaxEjectedFraction*float64(len(p.hosts)) {
+	if float64(ejected) > p.options.MaxEjectedFraction*float64(len(p.servers)) {
 		return
 	}
-	h.ejected = true
-	h.backoff = p.o.BaseEjectionTime
-	h.probeAt = now.Add(h.backoff)
+	s.isEjected = true
+	s.backoff = p.options.BaseEjectionTime
+	s.probeAt = now.Add(s.backoff)
 }
 
-// NextProbe returns an ejected host that is to be probed now. The probe must be
-// ended by Probed.
+// NextProbe returns an ejected backend server whose probe is due. The probe
+// must be followed by a call of ProbeDone.
 func (p *Pool) NextProbe(now time.Time) (string, bool) {
-	for i := range p.hosts {
-		h := &p.hosts[i]
-		if h.ejected && !h.probing && !now.Before(h.probeAt) {
-			h.probing = true
-			return h.ID, true
+	for i := range p.servers {
+		s := &p.servers[i]
+		if s.isEjected && !s.isProbing && !now.Before(s.probeAt) {
+			s.isProbing = true
+			return s.ID, true
 		}
 	}
 	return "", false
 }
 
-// ProbeDone reports the result of a probe. A host that answers comes back by slow
-// start.
+// ProbeDone records the result of a probe. After a successful one the backend
+// server returns with a slow start.
 func (p *Pool) ProbeDone(now time.Time, id string, ok bool) {
-	h := p.find(id)
-	if h == nil || !h.probing {
+	s := p.find(id)
+	if s == nil || !s.isProbing {
 		return
 	}
-	h.probing = false
+	s.isProbing = false
 	if !ok {
-		h.backoff = min(2*h.backoff, maxBackoff*p.o.BaseEjectionTime)
-		h.probeAt = now.Add(h.backoff)
+		s.backoff = min(2*s.backoff, maxBackoffFactor*p.options.BaseEjectionTime)
+		s.probeAt = now.Add(s.backoff)
 		return
 	}
-	h.ejected = false
-	h.failures = 0
-	h.ramp = Ramp{Start: now, Duration: p.o.SlowStartDuration, InitialFraction: rampFirst}
+	s.isEjected = false
+	s.failures = 0
+	s.ramp = Ramp{Start: now, Duration: p.options.SlowStartDuration, InitialFraction: initialRampFraction}
 }
 
-// EjectedCount returns the number of hosts that are ejected.
+// EjectedCount returns the number of ejected backend servers.
 func (p *Pool) EjectedCount() int {
 	n := 0
-	for i := range p.hosts {
-		if p.hosts[i].ejected {
+	for i := range p.servers {
+		if p.servers[i].isEjected {
 			n++
 		}
 	}
 	return n
 }
 
-// InFlight returns the number of requests this process has at a host.
+// InFlight returns the number of this process's requests in flight at a backend
+// server.
 func (p *Pool) InFlight(id string) int {
-	if h := p.find(id); h != nil {
-		return h.inFlight
+	if s := p.find(id); s != nil {
+		return s.inFlight
 	}
 	return 0
 }
--- a/core/admission/scheduler.go
+++ b/core/admission/scheduler.go
@@ -1,21 +1,22 @@
 package admission
 
-// Scheduler is a bounded packet queue that is fair between services: deficit
-// round robin (Shreedhar and Varghese, 1995) on the way out, dynamic thresholds
-// (Choudhury and Hahne, 1998) on the way in. A service's queue may hold as many
-// packets as are free in the whole, so a flood always leaves room for others.
+// Scheduler is a bounded packet queue that is fair between services. It
+// dequeues by deficit round robin (Shreedhar and Varghese, 1995) and limits the
+// queues by dynamic thresholds (Choudhury and Hahne, 1998). The queue of a
+// service may hold as many packets as the whole scheduler has free places, so a
+// flood always leaves room for other services.
 //
-// Push and Pop do not allocate once a service has been seen.
+// Enqueue and Dequeue do not allocate after the first packet of a service.
 type Scheduler[T any] struct {
-	quantum int
-	nodes   []node[T]
-	free    int32 // head of the list of free nodes
-	nfree   int
-	index   map[uint32]int32
-	queues  []packetQueue
-	// active is the last queue of the circular list of queues with packets.
-	active int32
-	length int
+	quantum    int
+	nodes      []node[T]
+	freeHead   int32 // first node of the free list
+	freeCount  int
+	queueIndex map[uint32]int32
+	queues     []packetQueue
+	// activeTail is the last queue of the circular list of nonempty queues.
+	activeTail int32
+	length     int
 }
 
 type node[T any] struct {
@@ -25,59 +26,59 @@
 }
 
 type packetQueue struct {
-	service    uint32
-	head, tail int32
-	next       int32
-	length     int
-	deficit    int
-	fresh      bool // has not had its quantum in this round
-	dropped    uint64
+	service      uint32
+	head, tail   int32
+	next         int32
+	length       int
+	deficit      int
+	isQuantumDue bool // the queue has not received its quantum in this round
+	dropped      uint64
 }
 
-const none = int32(-1)
+const noIndex = int32(-1)
 
-// NewScheduler returns a scheduler for at most capacity packets that serves
-// packets of up to quantum in cost from a service in turn. The cost is in the
-// unit of what is scarce: 1 a packet for a processor, bytes for a link. A
-// quantum of at least the greatest cost makes Pop constant in time.
+// NewScheduler returns a scheduler for at most capacity packets, which serves
+// up to quantum of cost from a service per round. The cost is in units of the
+// scarce resource: 1 per packet for a processor, bytes for a link. A quantum of
+// at least the greatest cost makes Dequeue run in constant time.
 func NewScheduler[T any](capacity, quantum int) *Scheduler[T] {
 	s := &Scheduler[T]{
-		quantum: quantum,
-		nodes:   make([]node[T], capacity),
-		nfree:   capacity,
-		index:   make(map[uint32]int32),
-		active:  none,
+		quantum:    quantum,
+		nodes:      make([]node[T], capacity),
+		freeCount:  capacity,
+		queueIndex: make(map[uint32]int32),
+		activeTail: noIndex,
 	}
 	for i := range s.nodes {
 		s.nodes[i].next = int32(i) + 1
 	}
-	s.nodes[capacity-1].next = none
+	s.nodes[capacity-1].next = noIndex
 	return s
 }
 
-// Len returns the number of packets held.
+// Len returns the number of queued packets.
 func (s *Scheduler[T]) Len() int { return s.length }
 
-// DropCount returns the number of packets of a service that were refused.
+// DropCount returns the number of dropped packets of a service.
 func (s *Scheduler[T]) DropCount(service uint32) uint64 {
-	if i, ok := s.index[service]; ok {
+	if i, ok := s.queueIndex[service]; ok {
 		return s.queues[i].dropped
 	}
 	return 0
 }
 
-// Enqueue adds a packet. It reports false if the service's queue may
-// not grow.
+// Enqueue adds a packet. It drops the packet and returns false if the queue of
+// the service is at its threshold.
 func (s *Scheduler[T]) Enqueue(service uint32, cost int, item T) bool {
-	i := s.queue(service)
+	i := s.ensureQueue(service)
 	q := &s.queues[i]
-	if q.length >= s.nfree {
+	if q.length >= s.freeCount {
 		q.dropped++
 		return false
 	}
-	n := s.free
-	s.free = s.nodes[n].next
-	s.nodes[n] = node[T]{next: none, cost: int32(cost), item: item}
+	n := s.freeHead
+	s.freeHead = s.nodes[n].next
+	s.nodes[n] = node[T]{next: noIndex, cost: int32(cost), item: item}
 	if q.length == 0 {
 		q.head = n
 		s.activate(i)
@@ -86,64 +87,64 @@
 	}
 	q.tail = n
 	q.length++
-	s.nfree--
+	s.freeCount--
 	s.length++
 	return true
 }
 
-func (s *Scheduler[T]) queue(service uint32) int32 {
-	i, ok := s.index[service]
+func (s *Scheduler[T]) ensureQueue(service uint32) int32 {
+	i, ok := s.queueIndex[service]
 	if !ok {
 		i = int32(len(s.queues))
-		s.queues = append(s.queues, packetQueue{service: service, next: none})
-		s.index[service] = i
+		s.queues = append(s.queues, packetQueue{service: service, next: noIndex})
+		s.queueIndex[service] = i
 	}
 	return i
 }
 
-// activate puts a queue at the end of the round.
+// activate appends a queue to the round.
 func (s *Scheduler[T]) activate(i int32) {
 	q := &s.queues[i]
 	q.deficit = 0
-	q.fresh = true
-	if s.active == none {
+	q.isQuantumDue = true
+	if s.activeTail == noIndex {
 		q.next = i
 	} else {
-		q.next = s.queues[s.active].next
-		s.queues[s.active].next = i
+		q.next = s.queues[s.activeTail].next
+		s.queues[s.activeTail].next = i
 	}
-	s.active = i
+	s.activeTail = i
 }
 
 // Dequeue returns the next packet and its service.
 func (s *Scheduler[T]) Dequeue() (item T, service uint32, ok bool) {
-	for s.active != none {
-		i := s.queues[s.active].next
+	for s.activeTail != noIndex {
+		i := s.queues[s.activeTail].next
 		q := &s.queues[i]
-		if q.fresh {
+		if q.isQuantumDue {
 			q.deficit += s.quantum
-			q.fresh = false
+			q.isQuantumDue = false
 		}
 		if int(s.nodes[q.head].cost) <= q.deficit {
-			return s.take(i), q.service, true
+			return s.removeHead(i), q.service, true
 		}
-		q.fresh = true
-		s.active = i
+		q.isQuantumDue = true
+		s.activeTail = i
 	}
 	return item, 0, false
 }
 
-// take removes the head of queue i, which is first in the round.
-func (s *Scheduler[T]) take(i int32) T {
+// removeHead removes the head of queue i, which is first in the round.
+func (s *Scheduler[T]) removeHead(i int32) T {
 	q := &s.queues[i]
 	n := q.head
 	item := s.nodes[n].item
 	q.deficit -= int(s.nodes[n].cost)
 	q.head = s.nodes[n].next
 	q.length--
-	s.nodes[n] = node[T]{next: s.free}
-	s.free = n
-	s.nfree++
+	s.nodes[n] = node[T]{next: s.freeHead}
+	s.freeHead = n
+	s.freeCount++
 	s.length--
 	if q.length == 0 {
 		s.deactivate(i)
@@ -151,11 +152,11 @@
 	return item
 }
 
-// deactivate removes queue i, which is first in the round.
+// deactivate removes queue i, which is first in the round, from the round.
 func (s *Scheduler[T]) deactivate(i int32) {
-	if s.active == i {
-		s.active = none
+	if s.activeTail == i {
+		s.activeTail = noIndex
 		return
 	}
-	s.queues[s.active].next = s.queues[i].next
+	s.queues[s.activeTail].next = s.queues[i].next
 }
