--- a/core/flow/agent.go
+++ b/core/flow/agent.go
@@ -33,7 +33,7 @@
 	HistoryWindow time.Duration
 	// UnresponsiveAfter and UnresponsiveQueries define when an agent counts as
 	// unresponsive: at least UnresponsiveQueries consecutive queries to it are
-	// unanswered, and the first of them is older than UnresponsiveAfter. Such
+	// unanswered, and the first of them is at least UnresponsiveAfter ago. Such
 	// an agent is skipped if it is not a member of the active view.
 	UnresponsiveAfter   time.Duration
 	UnresponsiveQueries int
--- a/core/flow/interleave_test.go
+++ b/core/flow/interleave_test.go
@@ -62,9 +62,9 @@
 	initial []message
 }
 
-// forwardedPacket is a packet that a balancer forwards by view. The balancer
-// adopted the view before first; -1 if it had none.
-type forwardedPacket struct{ view, before int }
+// forwardedPacket is a packet that a balancer forwards by view after it adopted
+// the view previous, or -1 for none.
+type forwardedPacket struct{ view, previous int }
 
 // run is the state reached by a sequence of choices.
 type run struct {
@@ -105,8 +105,8 @@
 	for _, s := range m.packets {
 		b := NewBalancer(0)
 		b.SetBindings(view.Version{}, []Binding{{serviceAddr, 1}})
-		if s.before >= 0 {
-			b.SetView(0, m.views[s.before])
+		if s.previous >= 0 {
+			b.SetView(0, m.views[s.previous])
 		}
 		b.SetView(0, m.views[s.view])
 		d, err := b.Forward(tupleOf(1))
--- a/core/flow/returnpath_test.go
+++ b/core/flow/returnpath_test.go
@@ -13,11 +13,11 @@
 	second := netip.MustParseAddrPort("127.0.0.2:1")
 	start := time.Unix(100, 0)
 	cases := []struct {
-		name   string
-		quiet  time.Duration // since the caller's last packet
-		heard  []netip.AddrPort
-		listed []netip.AddrPort
-		want   []netip.AddrPort // for two consecutive replies, sorted
+		name     string
+		idle     time.Duration // since the caller's last packet
+		seen     []netip.AddrPort
+		reported []netip.AddrPort
+		want     []netip.AddrPort // for two consecutive replies, sorted
 	}{
 		{"caller active", callerIdleLimit / 2, []netip.AddrPort{first, second}, nil, []netip.AddrPort{first, first}},
 		{"caller idle", callerIdleLimit, []netip.AddrPort{first, second}, nil, []netip.AddrPort{first, second}},
@@ -29,11 +29,11 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			r := NewReturnPaths()
-			for _, b := range c.heard {
+			for _, b := range c.seen {
 				r.MarkSeen(b, start)
 			}
-			r.SetBalancers(c.listed)
-			now := start.Add(c.quiet)
+			r.SetBalancers(c.reported)
+			now := start.Add(c.idle)
 			r.Expire(now)
 			got := []netip.AddrPort{r.Choose(first, start, now), r.Choose(first, start, now)}
 			if got[0].Compare(got[1]) > 0 {
