--- a/core/admission/admission.go
+++ b/core/admission/admission.go
@@ -100,13 +100,14 @@
 	classes     []classState
 	totalShares int
 	// queuedClasses are the classes with queued requests, in the order in which
-	// their queues became nonempty. Some of the queues may be empty again.
+	// their queues became nonempty. Some of the queues may be empty again, and
+	// a class whose queue was empty in between may occur twice.
 	queuedClasses []int
-	running       map[uint64]runningRequest
+	admitted      map[uint64]admittedRequest
 	decisions     []Decision
 }
 
-type runningRequest struct {
+type admittedRequest struct {
 	class      int
 	admittedAt time.Time
 }
@@ -125,7 +126,7 @@
 
 // NewLimiter returns a limiter with the given number of slots and classes.
 func NewLimiter(slots int, classes []Class) *Limiter {
-	l := &Limiter{slots: slots, running: make(map[uint64]runningRequest)}
+	l := &Limiter{slots: slots, admitted: make(map[uint64]admittedRequest)}
 	for _, c := range classes {
 		l.classes = append(l.classes, classState{Class: c, meanHoldTime: initialHoldTime})
 		l.totalShares += c.Share
@@ -192,7 +193,7 @@
 	c.updateMean(now)
 	c.inUse++
 	l.inUse++
-	l.running[id] = runningRequest{class: class, admittedAt: now}
+	l.admitted[id] = admittedRequest{class: class, admittedAt: now}
 }
 
 // Release frees the slot of a request that ended, or removes a queued request
@@ -200,12 +201,12 @@
 // until the next call.
 func (l *Limiter) Release(now time.Time, id uint64) []Decision {
 	l.decisions = l.decisions[:0]
-	r, ok := l.running[id]
+	r, ok := l.admitted[id]
 	if !ok {
 		l.removeQueued(id)
 		return l.decisions
 	}
-	delete(l.running, id)
+	delete(l.admitted, id)
 	c := &l.classes[r.class]
 	c.updateMean(now)
 	c.inUse--
--- a/core/admission/admission_test.go
+++ b/core/admission/admission_test.go
@@ -23,7 +23,7 @@
 	return ds[len(ds)-1]
 }
 
-func TestIdleSlotsAreLentAndReturnToTheirClassFirst(t *testing.T) {
+func TestIdleSlotsAreUsableByAllClassesAndFreedSlotsGoToLeastServedClass(t *testing.T) {
 	is := is.New(t)
 	l := newTestLimiter()
 	for id := range uint64(4) {
@@ -109,15 +109,15 @@
 	is.Equal(Ramp{}.FractionAt(t0), 1.0)
 }
 
-func newTestPool(hosts ...BackendServer) *Pool {
+func newTestPool(servers ...BackendServer) *Pool {
 	p := NewPool(PoolOptions{
 		Zone: "z0", CrossZoneCost: 6 * time.Millisecond, ReportHalfLife: time.Second, EjectAfterFailures: 3,
 		BaseEjectionTime: time.Second, MaxEjectedFraction: 0.5, SlowStartDuration: 10 * time.Second,
 	})
-	for i := range hosts {
-		hosts[i].Slots, hosts[i].Weight = 4, 1
+	for i := range servers {
+		servers[i].Slots, servers[i].Weight = 4, 1
 	}
-	p.SetBackendServers(hosts)
+	p.SetBackendServers(servers)
 	return p
 }
 
@@ -301,11 +301,11 @@
 }
 
 func BenchmarkPick(b *testing.B) {
-	var hosts []BackendServer
+	var servers []BackendServer
 	for i := range 7 {
-		hosts = append(hosts, BackendServer{ID: fmt.Sprint("h", i), Zone: fmt.Sprint("z", i%4)})
+		servers = append(servers, BackendServer{ID: fmt.Sprint("h", i), Zone: fmt.Sprint("z", i%4)})
 	}
-	p := newTestPool(hosts...)
+	p := newTestPool(servers...)
 	rng := rand.New(rand.NewPCG(1, 1))
 	b.ReportAllocs()
 	for range b.N {
--- a/core/admission/concurrency.go
+++ b/core/admission/concurrency.go
@@ -71,8 +71,9 @@
 	c.latencySum, c.samples, c.hasFailure, c.isSaturated = 0, 0, false, false
 }
 
-// Ramp raises the capacity of a backend server that has just started from an
-// initial fraction to all of it.
+// Ramp is the slow start of a backend server that has just started or returned
+// after an ejection: its capacity rises linearly from an initial fraction to
+// all of it.
 type Ramp struct {
 	// Start is the time at which the ramp begins.
 	Start time.Time
--- a/core/admission/flood_sim_test.go
+++ b/core/admission/flood_sim_test.go
@@ -19,10 +19,10 @@
 
 // deployment has the sizes of one of the two users' deployments.
 type deployment struct {
-	name    string
-	zones   int
-	hosts   []int // per service
-	classes []floodClass
+	name         string
+	zones        int
+	serverCounts []int // per service
+	classes      []floodClass
 }
 
 var deployments = []deployment{
@@ -39,29 +39,29 @@
 }
 
 const (
-	hostSlots      = 4
-	gateways       = 3
-	gatewaySlots   = 128
-	processingTime = 5 * time.Microsecond // per request at a gateway's processor
-	clientLink     = 3 * time.Millisecond
-	nearLink       = 500 * time.Microsecond
-	farLink        = 3500 * time.Microsecond
-	floodDeadline  = 2 * time.Second
-	normalLoad     = 0.5 // fraction of a class's share of the slots
-	floodWarmUp    = time.Second
-	retryRatio     = 0.1
-	naiveRetries   = 3
-	naiveTimeout   = time.Second
+	serverSlots     = 4
+	gateways        = 3
+	gatewaySlots    = 128
+	processingTime  = 5 * time.Microsecond   // per request at a gateway's processor
+	callerLinkDelay = 3 * time.Millisecond   // one way, between caller and gateway
+	sameZoneDelay   = 500 * time.Microsecond // one way, between gateway and backend server
+	crossZoneDelay  = 3500 * time.Microsecond
+	floodDeadline   = 2 * time.Second
+	normalLoad      = 0.5 // fraction of a class's share of the slots
+	floodWarmUp     = time.Second
+	retryRatio      = 0.1
+	naiveRetries    = 3
+	naiveTimeout    = time.Second
 )
 
 type floodEventKind uint8
 
 const (
-	evGatewayArrival floodEventKind = iota // at the gateway
-	evProcessed
-	evHostArrival
-	evServed
-	evAnswer
+	evGatewayArrival floodEventKind = iota
+	evProcessed                     // by the gateway's processor
+	evServerArrival
+	evServed // the request releases its slot
+	evResponse
 	evRejected
 	evTimeout
 )
@@ -112,13 +112,13 @@
 	class, gateway      int32
 	createdAt           time.Duration
 	tries               int32
-	host                int32
+	server              int32
 	sentAt, serviceTime time.Duration
-	triedHosts          []string
+	triedServers        []string
 	done                bool
 }
 
-type floodHost struct {
+type floodServer struct {
 	id, zone string
 	limiter  *Limiter
 	busy     int // busy slots, in the naive version
@@ -136,7 +136,7 @@
 }
 
 type classResult struct {
-	offered, answered int
+	offered, completed int
 	// firstSends and sends count the whole run, not only the measured span.
 	firstSends, sends int
 	// slotTime is the slot time of the responses that arrived by their
@@ -145,7 +145,7 @@
 	latencies []time.Duration
 }
 
-func (c *classResult) goodput() float64 { return float64(c.answered) / float64(c.offered) }
+func (c *classResult) goodput() float64 { return float64(c.completed) / float64(c.offered) }
 
 func (c *classResult) p99() time.Duration {
 	if len(c.latencies) == 0 {
@@ -155,15 +155,16 @@
 	return c.latencies[len(c.latencies)*99/100]
 }
 
-// floodRun simulates callers, gateways, links and hosts in virtual time.
+// floodRun simulates callers, gateways, links and backend servers in virtual
+// time.
 type floodRun struct {
 	d        deployment
-	naive    bool
+	naive    bool // without admission control
 	rng      *rand.Rand
 	now      time.Duration
 	events   floodHeap
 	requests []floodRequest
-	hosts    [][]floodHost
+	servers  [][]floodServer
 	gateways []floodGateway
 	// span is the measured time after the warm-up.
 	span time.Duration
@@ -181,7 +182,7 @@
 	f := &floodRun{d: d, span: span, naive: naive, rng: rand.New(rand.NewPCG(1, 2)), results: make([]classResult, len(d.classes))}
 	f.build()
 	for i, c := range d.classes {
-		capacity := float64(d.hosts[c.service]*hostSlots) / c.meanService.Seconds()
+		capacity := float64(d.serverCounts[c.service]*serverSlots) / c.meanService.Seconds()
 		normal := normalLoad * capacity * float64(c.share) / float64(f.shares(c.service))
 		rate := normal
 		if i == flooded && factor > 0 {
@@ -218,26 +219,26 @@
 	for _, c := range f.d.classes {
 		gatewayClasses = append(gatewayClasses, Class{Name: c.name, Share: c.share, MaxWait: 100 * time.Millisecond, MaxQueue: 64})
 	}
-	members := make([][]BackendServer, len(f.d.hosts))
-	for s, n := range f.d.hosts {
-		hostClasses := slices.Clone(gatewayClasses)
-		for i := range hostClasses {
+	members := make([][]BackendServer, len(f.d.serverCounts))
+	for s, n := range f.d.serverCounts {
+		serverClasses := slices.Clone(gatewayClasses)
+		for i := range serverClasses {
 			if f.d.classes[i].service != s {
-				hostClasses[i].Share = 0
+				serverClasses[i].Share = 0 // no request of the class arrives at this server
 			}
-			hostClasses[i].MaxQueue = 16
+			serverClasses[i].MaxQueue = 16
 		}
-		var hosts []floodHost
+		var servers []floodServer
 		for i := range n {
-			hosts = append(hosts, floodHost{id: fmt.Sprint(i), zone: zone(i), limiter: NewLimiter(hostSlots, hostClasses)})
-			members[s] = append(members[s], BackendServer{ID: fmt.Sprint(i), Zone: zone(i), Slots: hostSlots, Weight: 1})
+			servers = append(servers, floodServer{id: fmt.Sprint(i), zone: zone(i), limiter: NewLimiter(serverSlots, serverClasses)})
+			members[s] = append(members[s], BackendServer{ID: fmt.Sprint(i), Zone: zone(i), Slots: serverSlots, Weight: 1})
 		}
-		f.hosts = append(f.hosts, hosts)
+		f.servers = append(f.servers, servers)
 	}
 	for g := range gateways {
 		gw := floodGateway{zone: zone(g), scheduler: NewScheduler[int32](4096, 1), limiter: NewLimiter(gatewaySlots, gatewayClasses)}
-		for s := range f.d.hosts {
-			p := NewPool(PoolOptions{Zone: zone(g), CrossZoneCost: 2 * (farLink - nearLink), ReportHalfLife: time.Second, EjectAfterFailures: 5, BaseEjectionTime: time.Second, MaxEjectedFraction: 0.5})
+		for s := range f.d.serverCounts {
+			p := NewPool(PoolOptions{Zone: zone(g), CrossZoneCost: 2 * (crossZoneDelay - sameZoneDelay), ReportHalfLife: time.Second, EjectAfterFailures: 5, BaseEjectionTime: time.Second, MaxEjectedFraction: 0.5})
 			p.SetBackendServers(members[s])
 			gw.pools = append(gw.pools, p)
 			gw.budgets = append(gw.budgets, attempt.NewBudget(retryRatio, 10))
@@ -258,7 +259,7 @@
 	}
 	gap := time.Duration(f.rng.ExpFloat64() / rate * float64(time.Second))
 	f.requests = append(f.requests, floodRequest{
-		class: int32(class), gateway: int32(f.rng.IntN(gateways)), createdAt: f.now + gap - clientLink,
+		class: int32(class), gateway: int32(f.rng.IntN(gateways)), createdAt: f.now + gap - callerLinkDelay,
 	})
 	f.schedule(gap, evGatewayArrival, int32(len(f.requests)-1))
 }
@@ -283,14 +284,14 @@
 		f.gateways[r.gateway].busy = false
 		f.admit(e.req)
 		f.process(int(r.gateway))
-	case evHostArrival:
-		f.hostArrival(e)
+	case evServerArrival:
+		f.handleServerArrival(e)
 	case evServed:
-		f.served(e)
-	case evAnswer:
-		f.answer(e)
+		f.handleServed(e)
+	case evResponse:
+		f.handleResponse(e)
 	case evRejected:
-		f.rejected(e.req)
+		f.handleRejection(e.req)
 	case evTimeout:
 		if !r.done && r.tries == e.try && r.tries <= naiveRetries {
 			f.send(e.req)
@@ -370,48 +371,48 @@
 		f.results[r.class].firstSends++
 	}
 	if f.naive {
-		r.host = int32(f.rng.IntN(len(f.hosts[service])))
+		r.server = int32(f.rng.IntN(len(f.servers[service])))
 		f.schedule(naiveTimeout, evTimeout, req)
 	} else {
-		id, ok := g.pools[service].Pick(timeAt(f.now), f.rng.Uint64(), r.triedHosts)
+		id, ok := g.pools[service].Pick(timeAt(f.now), f.rng.Uint64(), r.triedServers)
 		if !ok {
 			f.releaseGatewaySlot(req)
 			return
 		}
-		r.host = int32(id[0] - '0')
-		r.triedHosts = append(r.triedHosts, id)
+		r.server = int32(id[0] - '0')
+		r.triedServers = append(r.triedServers, id)
 	}
 	r.sentAt = f.now
-	f.schedule(f.linkDelay(r), evHostArrival, req)
+	f.schedule(f.linkDelay(r), evServerArrival, req)
 }
 
-func (f *floodRun) host(r *floodRequest) *floodHost {
-	return &f.hosts[f.d.classes[r.class].service][r.host]
+func (f *floodRun) server(r *floodRequest) *floodServer {
+	return &f.servers[f.d.classes[r.class].service][r.server]
 }
 
 func (f *floodRun) linkDelay(r *floodRequest) time.Duration {
-	if f.host(r).zone == f.gateways[r.gateway].zone {
-		return nearLink
+	if f.server(r).zone == f.gateways[r.gateway].zone {
+		return sameZoneDelay
 	}
-	return farLink
+	return crossZoneDelay
 }
 
-func (f *floodRun) hostArrival(e floodEvent) {
+func (f *floodRun) handleServerArrival(e floodEvent) {
 	r := &f.requests[e.req]
-	h := f.host(r)
+	server := f.server(r)
 	if f.naive {
-		h.queue = append(h.queue, e)
-		f.serveNaive(h)
+		server.queue = append(server.queue, e)
+		f.serveNaive(server)
 		return
 	}
-	ds := h.limiter.Acquire(timeAt(f.now), Request{
-		ID: uint64(e.req), Class: int(r.class), Deadline: timeAt(r.createdAt + floodDeadline - clientLink - f.linkDelay(r)),
+	ds := server.limiter.Acquire(timeAt(f.now), Request{
+		ID: uint64(e.req), Class: int(r.class), Deadline: timeAt(r.createdAt + floodDeadline - callerLinkDelay - f.linkDelay(r)),
 	})
-	f.applyHostDecisions(ds)
+	f.applyServerDecisions(ds)
 }
 
-// applyHostDecisions applies the decisions of a host's limiter.
-func (f *floodRun) applyHostDecisions(ds []Decision) {
+// applyServerDecisions applies the decisions of a backend server's limiter.
+func (f *floodRun) applyServerDecisions(ds []Decision) {
 	for _, d := range ds {
 		req := int32(d.ID)
 		switch d.Verdict {
@@ -431,41 +432,41 @@
 	return held
 }
 
-func (f *floodRun) serveNaive(h *floodHost) {
-	for h.busy < hostSlots && len(h.queue) > 0 {
-		e := h.queue[0]
-		h.queue = h.queue[1:]
-		h.busy++
+func (f *floodRun) serveNaive(server *floodServer) {
+	for server.busy < serverSlots && len(server.queue) > 0 {
+		e := server.queue[0]
+		server.queue = server.queue[1:]
+		server.busy++
 		f.events.push(floodEvent{at: f.now + f.drawServiceTime(e.req), kind: evServed, req: e.req, try: e.try})
 	}
 }
 
-func (f *floodRun) served(e floodEvent) {
+func (f *floodRun) handleServed(e floodEvent) {
 	r := &f.requests[e.req]
-	h := f.host(r)
+	server := f.server(r)
 	if f.naive {
-		h.busy--
-		f.serveNaive(h)
+		server.busy--
+		f.serveNaive(server)
 	} else {
-		f.applyHostDecisions(h.limiter.Release(timeAt(f.now), uint64(e.req)))
+		f.applyServerDecisions(server.limiter.Release(timeAt(f.now), uint64(e.req)))
 	}
-	f.events.push(floodEvent{at: f.now + f.linkDelay(r), kind: evAnswer, req: e.req, try: e.try})
+	f.events.push(floodEvent{at: f.now + f.linkDelay(r), kind: evResponse, req: e.req, try: e.try})
 }
 
-func (f *floodRun) answer(e floodEvent) {
+func (f *floodRun) handleResponse(e floodEvent) {
 	r := &f.requests[e.req]
-	latency := f.now + clientLink - r.createdAt
+	latency := f.now + callerLinkDelay - r.createdAt
 	c := &f.results[r.class]
 	inTime := !r.done && latency <= floodDeadline
 	if inTime && f.now >= floodWarmUp && f.now < floodWarmUp+f.span {
 		c.slotTime += r.serviceTime
 	}
 	if inTime && f.isMeasured(r) {
-		c.answered++
+		c.completed++
 		c.latencies = append(c.latencies, latency)
 	}
 	if !f.naive {
-		f.pool(r).Done(timeAt(f.now), f.host(r).id, Completed, f.now-r.sentAt)
+		f.pool(r).Done(timeAt(f.now), f.server(r).id, Completed, f.now-r.sentAt)
 		f.releaseGatewaySlot(e.req)
 	}
 	r.done = true
@@ -475,10 +476,10 @@
 	return f.gateways[r.gateway].pools[f.d.classes[r.class].service]
 }
 
-func (f *floodRun) rejected(req int32) {
+func (f *floodRun) handleRejection(req int32) {
 	r := &f.requests[req]
 	g := &f.gateways[r.gateway]
-	f.pool(r).Done(timeAt(f.now), f.host(r).id, Rejected, 0)
+	f.pool(r).Done(timeAt(f.now), f.server(r).id, Rejected, 0)
 	if r.tries < 3 && f.now < r.createdAt+floodDeadline && g.budgets[f.d.classes[r.class].service].Withdraw() {
 		f.send(req)
 		return
--- a/core/admission/flood_test.go
+++ b/core/admission/flood_test.go
@@ -11,7 +11,7 @@
 )
 
 // utilization returns the fraction of a service's slot time that was spent on
-// requests answered by their deadline.
+// requests completed by their deadline.
 func utilization(d deployment, service int, span time.Duration, rs []classResult) float64 {
 	var busy time.Duration
 	for i, c := range d.classes {
@@ -19,21 +19,22 @@
 			busy += rs[i].slotTime
 		}
 	}
-	return busy.Seconds() / (float64(d.hosts[service]*hostSlots) * span.Seconds())
+	return busy.Seconds() / (float64(d.serverCounts[service]*serverSlots) * span.Seconds())
 }
 
+// The targets of the flood tests.
 const (
-	minOthersGoodput = 0.98
-	maxP99Ratio      = 2.0
-	minTotalGoodput  = 0.95
-	maxRetryShare    = 0.10
+	minOthersGoodput = 0.98 // of the classes that are not flooded
+	maxP99Ratio      = 2.0  // of those classes, relative to normal load
+	minUtilization   = 0.95 // of the flooded service
+	maxRetryRatio    = 0.10 // retries per first send
 
 	shortSpan = 2 * time.Second
 	longSpan  = 4 * time.Second
 )
 
 // TestFloodDoesNotDegradeOtherClasses floods each class in turn, and checks the
-// goodput and p99 latency of the other classes, the retries, and the
+// targets: goodput and p99 latency of the other classes, retries, and
 // utilization.
 func TestFloodDoesNotDegradeOtherClasses(t *testing.T) {
 	for _, d := range deployments {
@@ -43,19 +44,19 @@
 				t.Run(fmt.Sprintf("%s/%s/%gx", d.name, c.name, factor), func(t *testing.T) {
 					is := is.New(t)
 					results := runFlood(d, flooded, factor, shortSpan, false)
-					sends, first := 0, 0
+					sends, firstSends := 0, 0
 					for i := range results {
 						sends += results[i].sends
-						first += results[i].firstSends
+						firstSends += results[i].firstSends
 						if i == flooded {
 							continue
 						}
 						is.True(results[i].goodput() >= minOthersGoodput)
 						is.True(float64(results[i].p99()) <= maxP99Ratio*float64(normal[i].p99()))
 					}
-					is.True(float64(sends) <= float64(first)*(1+maxRetryShare))
+					is.True(float64(sends) <= float64(firstSends)*(1+maxRetryRatio))
 					if factor == 10 {
-						is.True(utilization(d, c.service, shortSpan, results) >= minTotalGoodput)
+						is.True(utilization(d, c.service, shortSpan, results) >= minUtilization)
 					}
 				})
 			}
@@ -69,7 +70,7 @@
 	is := is.New(t)
 	rs := runFlood(deployments[0], 0, 10, longSpan, true)
 	is.True(rs[1].goodput() < minOthersGoodput)
-	is.True(utilization(deployments[0], 0, longSpan, rs) < minTotalGoodput)
+	is.True(utilization(deployments[0], 0, longSpan, rs) < minUtilization)
 }
 
 // BenchmarkFlood prints the goodput and latency of the other classes while each
@@ -96,20 +97,20 @@
 			for v, name := range []string{"shares", "naive"} {
 				rs := runFlood(d, flooded, factor, longSpan, v == 1)
 				worst, slowest := 1.0, 0.0
-				sends, first := 0, 0
+				sends, firstSends := 0, 0
 				for i := range rs {
 					sends += rs[i].sends
-					first += rs[i].firstSends
+					firstSends += rs[i].firstSends
 					if i != flooded {
 						worst = min(worst, rs[i].goodput())
 						slowest = max(slowest, float64(rs[i].p99())/float64(normal[v][i].p99()))
-						if rs[i].answered == 0 {
+						if rs[i].completed == 0 {
 							slowest = math.Inf(1)
 						}
 					}
 				}
 				fmt.Fprintf(out, " | %s %5.1f%% p99 x%4.2f used %5.1f%% sends %.2f",
-					name, 100*worst, slowest, 100*utilization(d, c.service, longSpan, rs), float64(sends)/float64(first))
+					name, 100*worst, slowest, 100*utilization(d, c.service, longSpan, rs), float64(sends)/float64(firstSends))
 			}
 			fmt.Fprintln(out)
 		}
--- a/core/admission/pool.go
+++ b/core/admission/pool.go
@@ -58,7 +58,8 @@
 	// otherLoad is the load of other gateways at reportedAt.
 	otherLoad  float64
 	reportedAt time.Time
-	// health falls with every rejection and rises with every completion.
+	// health is the fraction of the capacity that cost assumes. It falls with
+	// every rejection and rises with every completion.
 	health    float64
 	failures  int
 	isEjected bool
@@ -80,12 +81,12 @@
 }
 
 const (
-	rejectionFactor     = 0.7
-	completionRecovery  = 0.02
+	rejectionFactor     = 0.7  // multiplies health at a rejection
+	completionRecovery  = 0.02 // added to health at a completion
 	minHealth           = 0.1
-	initialRampFraction = 0.1
-	initialLatency      = 10 * time.Millisecond
-	maxBackoffFactor    = 32 // times BaseEjectionTime
+	initialRampFraction = 0.1                   // of the slow start after an ejection
+	initialLatency      = 10 * time.Millisecond // until the first request has completed
+	maxBackoffFactor    = 32                    // times BaseEjectionTime
 )
 
 // NewPool returns an empty pool.
--- a/core/admission/scheduler.go
+++ b/core/admission/scheduler.go
@@ -3,7 +3,7 @@
 // Scheduler is a bounded packet queue that is fair between services. It
 // dequeues by deficit round robin (Shreedhar and Varghese, 1995) and limits the
 // queues by dynamic thresholds (Choudhury and Hahne, 1998). The queue of a
-// service may hold as many packets as the whole scheduler has free places, so a
+// service may hold as many packets as the whole scheduler has free nodes, so a
 // flood always leaves room for other services.
 //
 // Enqueue and Dequeue do not allocate after the first packet of a service.
--- a/core/flow/agent.go
+++ b/core/flow/agent.go
@@ -156,8 +156,8 @@
 	r.shard = a.shard(r.id)
 	r.shard.mu.Lock()
 	defer r.shard.mu.Unlock()
-	for _, d := range p.NonOwners[:p.NonOwnerCount] {
-		a.peers.markResponsive(d)
+	for _, seed := range p.NonOwners[:p.NonOwnerCount] {
+		a.peers.markResponsive(seed)
 	}
 	switch p.Kind {
 	case Query:
@@ -240,7 +240,7 @@
 	}
 }
 
-func (a *Agent) storePointer(now time.Duration, slot uint32, id ID, firstHand bool) {
+func (a *Agent) storePointer(now time.Duration, slot uint32, id ID, isFromOwner bool) {
 	s := a.shard(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -248,7 +248,7 @@
 	switch {
 	case e != nil && e.isOwned():
 		a.stats.contested.Add(1)
-	case e == nil || e.isOwnerUnknown() || firstHand:
+	case e == nil || e.isOwnerUnknown() || isFromOwner:
 		s.setPointer(id, slot, now)
 	}
 }
--- a/core/flow/balance.go
+++ b/core/flow/balance.go
@@ -36,46 +36,46 @@
 }
 
 func newRebalancePlan(c *adoptedView, flows map[uint64]float64, self uint64) *rebalancePlan {
-	b := &rebalancePlan{view: c.view}
-	total, weights := 0.0, 0.0
+	plan := &rebalancePlan{view: c.view}
+	totalFlows, totalWeight := 0.0, 0.0
 	for _, t := range c.view.Targets() {
 		if n, ok := flows[t.Seed]; ok {
-			total += n
-			weights += float64(t.Weight)
+			totalFlows += n
+			totalWeight += float64(t.Weight)
 		}
 	}
-	if weights == 0 {
-		return b
+	if totalWeight == 0 {
+		return plan
 	}
 	for _, t := range c.view.Targets() {
 		n, ok := flows[t.Seed]
-		fair := total * float64(t.Weight) / weights
+		fairShare := totalFlows * float64(t.Weight) / totalWeight
 		switch {
 		case !ok:
-		case t.Seed == self && n > fair*(1+divertThreshold):
-			b.quota.Store(int64(n - fair))
-		case t.Seed != self && fair-n >= 1:
-			b.underloaded = append(b.underloaded, view.Target{Seed: t.Seed, Weight: uint32(fair - n), Index: t.Index})
+		case t.Seed == self && n > fairShare*(1+divertThreshold):
+			plan.quota.Store(int64(n - fairShare))
+		case t.Seed != self && fairShare-n >= 1:
+			plan.underloaded = append(plan.underloaded, view.Target{Seed: t.Seed, Weight: uint32(fairShare - n), Index: t.Index})
 		}
 	}
-	return b
+	return plan
 }
 
 // divert returns the agent that a new flow is placed on to balance load, if
 // any.
 func (r *request) divert(current *adoptedView) (Peer, bool) {
-	b := r.agent.rebalance.Load()
-	if b == nil || current == nil || r.packet.Ballot != (Ballot{Version: current.view.Version}) || b.view != current.view || b.quota.Load() <= 0 {
+	plan := r.agent.rebalance.Load()
+	if plan == nil || current == nil || r.packet.Ballot != (Ballot{Version: current.view.Version}) || plan.view != current.view || plan.quota.Load() <= 0 {
 		return Peer{}, false
 	}
-	i := placement.PickTarget(r.id.Key, b.underloaded)
+	i := placement.PickTarget(r.id.Key, plan.underloaded)
 	if i == placement.None {
 		return Peer{}, false
 	}
-	p := PeerOf(b.view, i)
-	if !r.canQuery(p) {
+	peer := PeerOf(plan.view, i)
+	if !r.canQuery(peer) {
 		return Peer{}, false
 	}
-	b.quota.Add(-1)
-	return p, true
+	plan.quota.Add(-1)
+	return peer, true
 }
--- a/core/flow/balancer.go
+++ b/core/flow/balancer.go
@@ -107,8 +107,8 @@
 	for i := range tables {
 		tables[i] = make(map[netip.AddrPort]*serviceState)
 	}
-	for _, n := range bindings {
-		tables[shardOf(n.Address)][n.Address] = b.ensureService(n.Service)
+	for _, binding := range bindings {
+		tables[addressShardIndex(binding.Address)][binding.Address] = b.ensureService(binding.Service)
 	}
 	for i := range tables {
 		b.shards[i].table.Store(&tables[i])
@@ -153,16 +153,16 @@
 }
 
 func newViewHistory(now time.Duration, v *view.View, old *viewHistory) *viewHistory {
-	n := &viewHistory{current: newPicker(v, v.Targets()), adoptedAt: now}
+	history := &viewHistory{current: newPicker(v, v.Targets()), adoptedAt: now}
 	if old != nil {
-		n.earlier = append(n.earlier, old.current)
+		history.earlier = append(history.earlier, old.current)
 	}
 	for i := range v.Earlier {
 		if old == nil || v.Earlier[i].Version != old.current.view.Version {
-			n.earlier = append(n.earlier, newPicker(v, v.PastTargets(i)))
+			history.earlier = append(history.earlier, newPicker(v, v.PastTargets(i)))
 		}
 	}
-	return n
+	return history
 }
 
 // ExpireEarlierViews removes the earlier views of services whose active view
@@ -171,8 +171,8 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, s := range b.services {
-		if p := s.views.Load(); p != nil && p.earlier != nil && now-p.adoptedAt > b.historyWindow {
-			s.views.Store(&viewHistory{current: p.current, adoptedAt: p.adoptedAt})
+		if views := s.views.Load(); views != nil && views.earlier != nil && now-views.adoptedAt > b.historyWindow {
+			s.views.Store(&viewHistory{current: views.current, adoptedAt: views.adoptedAt})
 		}
 	}
 }
@@ -185,8 +185,8 @@
 	if s == nil {
 		return nil
 	}
-	if p := s.views.Load(); p != nil {
-		return p.current.view
+	if views := s.views.Load(); views != nil {
+		return views.current.view
 	}
 	return nil
 }
@@ -194,7 +194,7 @@
 // Forward decides where to forward a packet of t. The errors are
 // ErrUnknownAddress, ErrNoView and ErrNoTarget; each is counted in Drops.
 func (b *Balancer) Forward(t Tuple) (Decision, error) {
-	s := (*b.shards[shardOf(t.Service)].table.Load())[t.Service]
+	s := (*b.shards[addressShardIndex(t.Service)].table.Load())[t.Service]
 	if s == nil {
 		b.drops[UnknownAddress].Add(1)
 		return Decision{}, ErrUnknownAddress
@@ -220,14 +220,14 @@
 
 // earlierPicks returns the agents other than pick that earlier views placed key
 // on, in their latest runs, and whether the list is complete.
-func (v *viewHistory) earlierPicks(key, pick uint64) (p EarlierPicks, complete bool) {
+func (v *viewHistory) earlierPicks(key, pickSeed uint64) (p EarlierPicks, complete bool) {
 	for _, e := range v.earlier {
 		i := e.pick(key)
 		if i == placement.None {
 			continue
 		}
-		prior, stays := v.latestRun(e.view, i)
-		if prior.Seed != pick && !p.add(prior) {
+		earlierPick, stays := v.latestRun(e.view, i)
+		if earlierPick.Seed != pickSeed && !p.add(earlierPick) {
 			return p, false
 		}
 		if stays {
@@ -237,7 +237,7 @@
 		if i == placement.None {
 			continue
 		}
-		if substitute, _ := v.latestRun(e.view, i); substitute.Seed != pick && !p.add(substitute) {
+		if substitute, _ := v.latestRun(e.view, i); substitute.Seed != pickSeed && !p.add(substitute) {
 			return p, false
 		}
 	}
@@ -267,7 +267,7 @@
 	return r
 }
 
-func shardOf(a netip.AddrPort) int {
+func addressShardIndex(a netip.AddrPort) int {
 	ip := a.Addr().As16()
 	return int(ip[15]^ip[14]^byte(a.Port())) % shardCount
 }
--- a/core/flow/ballot.go
+++ b/core/flow/ballot.go
@@ -9,7 +9,8 @@
 // Ballot is the right to acquire ownership of a flow. Under the ballot of a
 // view version only the ballot's home, which is the agent that the version
 // picks, may acquire the flow, and only after the homes of earlier ballots have
-// promised not to. A home that delegates its ballot to another agent, to
+// promised not to. To promise a ballot is to promise not to acquire the flow
+// under an older one. A home that delegates its ballot to another agent, to
 // balance load, keeps the retake ballot of the same version, which is newer.
 //
 // No two agents acquire the same flow: the home of the later ballot has the
--- a/core/flow/export.go
+++ b/core/flow/export.go
@@ -20,7 +20,7 @@
 
 // Export returns the agent's state of all flows, including its promises. The
 // agent must receive no packets during or after the export: the next run
-// continues under the same incarnation and is bound by the promises.
+// continues under the same incarnation and must keep the promises.
 func (a *Agent) Export(now time.Duration) []Record {
 	var out []Record
 	for i := range a.shards {
@@ -37,44 +37,44 @@
 }
 
 func (a *Agent) record(e *entry, now time.Duration) Record {
-	s := Record{
+	r := Record{
 		ID: e.id, Idle: time.Duration(ticks(now)-min(e.lastUsed, ticks(now))) * tick,
 		Owned: e.isOwned(), PromisedBallot: a.ballots.ballot(e.promised),
 	}
 	if e.isPointer() {
-		s.Owner = a.peers.peer(e.ownerSlot())
+		r.Owner = a.peers.peer(e.ownerSlot())
 	}
 	if e.home != homeSelf {
-		s.Home = a.peers.peer(e.home - homePeer)
+		r.Home = a.peers.peer(e.home - homePeer)
 	}
-	return s
+	return r
 }
 
 // Import restores the flows that an earlier run of the agent has exported. Call
 // it before the first packet.
-func (a *Agent) Import(now time.Duration, flows []Record) {
-	for i := range flows {
-		a.restore(now, &flows[i])
+func (a *Agent) Import(now time.Duration, records []Record) {
+	for i := range records {
+		a.restore(now, &records[i])
 	}
 }
 
-func (a *Agent) restore(now time.Duration, saved *Record) {
-	s := a.shard(saved.ID)
+func (a *Agent) restore(now time.Duration, r *Record) {
+	s := a.shard(r.ID)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e := s.flows.insert(saved.ID)
-	e.lastUsed = ticks(max(now-saved.Idle, 0))
-	if saved.PromisedBallot != (Ballot{}) {
-		e.promised = a.ballots.intern(saved.PromisedBallot)
+	e := s.flows.insert(r.ID)
+	e.lastUsed = ticks(max(now-r.Idle, 0))
+	if r.PromisedBallot != (Ballot{}) {
+		e.promised = a.ballots.intern(r.PromisedBallot)
 	}
-	if !saved.Home.IsZero() {
-		e.home = homePeer + a.peers.upsert(saved.Home)
+	if !r.Home.IsZero() {
+		e.home = homePeer + a.peers.upsert(r.Home)
 	}
 	switch {
-	case saved.Owned:
+	case r.Owned:
 		e.owner = ownerSelf
 		a.ownedCount.Add(1)
-	case !saved.Owner.IsZero():
-		e.owner = ownerPeer + a.peers.upsert(saved.Owner)
+	case !r.Owner.IsZero():
+		e.owner = ownerPeer + a.peers.upsert(r.Owner)
 	}
 }
--- a/core/flow/export_test.go
+++ b/core/flow/export_test.go
@@ -28,15 +28,15 @@
 	is.Equal(second, first)
 	is.True(after.Owns(ID{Key: 1, Check: 1}))
 	is.Equal(after.ownedCount.Load(), int64(1))
-	for _, s := range second {
-		switch s.ID.Key {
+	for _, r := range second {
+		switch r.ID.Key {
 		case 2:
-			is.Equal(s.Owner, other)
-			is.Equal(s.Home, other)
-			is.Equal(s.PromisedBallot, ballot)
+			is.Equal(r.Owner, other)
+			is.Equal(r.Home, other)
+			is.Equal(r.PromisedBallot, ballot)
 		case 3:
-			is.Equal(s.PromisedBallot, ballot)
-			is.True(!s.Owned && s.Owner.IsZero())
+			is.Equal(r.PromisedBallot, ballot)
+			is.True(!r.Owned && r.Owner.IsZero())
 		}
 	}
 }
--- a/core/flow/flow_test.go
+++ b/core/flow/flow_test.go
@@ -158,7 +158,7 @@
 	unowned = Packet{Service: 1, TargetIncarnation: 1, Ballot: Ballot{Version: allDraining.Version}, EarlierPicksComplete: true, Tuple: tupleOf(3)}
 	is.Equal(a.Receive(time.Minute, &unowned).Reason, NoTarget) // the history window has ended
 	_, err := newTestBalancer(allDraining).Forward(tupleOf(1))
-	is.NoErr(err) // flows of draining hosts are still forwarded
+	is.NoErr(err) // flows of draining backend servers are still forwarded
 }
 
 func TestUnresponsiveNonMemberIsSkipped(t *testing.T) {
@@ -234,7 +234,7 @@
 	}
 }
 
-func TestStateBytesPerFlow(t *testing.T) {
+func TestFlowTableUsesAtMost64BytesPerFlow(t *testing.T) {
 	is := is.New(t)
 	v := readyView(1, 1)
 	a := newTestAgent(v, 0)
@@ -250,7 +250,7 @@
 	is.True(worst <= 64)
 }
 
-func TestNoAllocations(t *testing.T) {
+func TestForwardAndReceiveDoNotAllocate(t *testing.T) {
 	is := is.New(t)
 	v := readyView(7, 1)
 	b, a := newTestBalancer(v), newTestAgent(v, 0)
--- a/core/flow/interleave_test.go
+++ b/core/flow/interleave_test.go
@@ -27,15 +27,15 @@
 	return Tuple{Caller: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 4000), Service: serviceAddr}
 }
 
-func memberOf(host int, weight uint32) view.BackendServer {
+func memberOf(i int, weight uint32) view.BackendServer {
 	return view.BackendServer{
-		ID: fmt.Sprintf("host-%d", host), Zone: "z", Incarnation: 1, State: view.Ready, Weight: weight,
-		Packets: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 1, byte(host)}), 7000),
+		ID: fmt.Sprintf("host-%d", i), Zone: "z", Incarnation: 1, State: view.Ready, Weight: weight,
+		Packets: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 1, byte(i)}), 7000),
 	}
 }
 
-// singlePickViews returns views over three hosts. Version i places every flow
-// on the host picks[i] and lists the weights of all earlier versions.
+// singlePickViews returns views over three backend servers. Version i places
+// every flow on member picks[i] and lists the weights of all earlier versions.
 func singlePickViews(picks ...int) []*view.View {
 	views := make([]*view.View, len(picks))
 	var earlier []view.Past
@@ -58,7 +58,7 @@
 	agents  [3]int // index of the initial view of each agent
 	packets []forwardedPacket
 	maxLost int  // number of messages that may be lost
-	divert  bool // host 0 places new flows on host 2
+	divert  bool // agent 0 places new flows on agent 2
 	initial []message
 }
 
@@ -92,9 +92,9 @@
 	}
 	if m.divert {
 		v := m.views[m.agents[0]]
-		b := &rebalancePlan{view: v, underloaded: []view.Target{{Seed: v.Seed(2), Weight: 1, Index: 2}}}
-		b.quota.Store(1)
-		r.agents[0].rebalance.Store(b)
+		plan := &rebalancePlan{view: v, underloaded: []view.Target{{Seed: v.Seed(2), Weight: 1, Index: 2}}}
+		plan.quota.Store(1)
+		r.agents[0].rebalance.Store(plan)
 	}
 	r.queue = slices.Clone(m.initial)
 	return r
@@ -113,11 +113,11 @@
 		if err != nil {
 			panic(err)
 		}
-		m.initial = append(m.initial, message{to: hostIndex(d.Target), packet: d.Packet(tupleOf(1))})
+		m.initial = append(m.initial, message{to: agentIndex(d.Target), packet: d.Packet(tupleOf(1))})
 	}
 }
 
-func hostIndex(p Peer) int { return int(p.Addr.Addr().As4()[3]) }
+func agentIndex(p Peer) int { return int(p.Addr.Addr().As4()[3]) }
 
 // choices returns the number of choices: deliver message i, lose message i, or
 // let agent i adopt its next view.
@@ -166,10 +166,10 @@
 	case Deliver:
 		r.owners[m.to] = true
 	case Relay:
-		r.queue = append(r.queue, message{to: hostIndex(action.To), packet: m.packet})
+		r.queue = append(r.queue, message{to: agentIndex(action.To), packet: m.packet})
 	}
 	if !action.PointerRecipient.IsZero() {
-		m := message{to: hostIndex(action.PointerRecipient), pointer: &action.Owner}
+		m := message{to: agentIndex(action.PointerRecipient), pointer: &action.Owner}
 		if !slices.ContainsFunc(r.queue, func(o message) bool { return o.pointer != nil && o.to == m.to && *o.pointer == *m.pointer }) {
 			r.queue = append(r.queue, m)
 		}
@@ -191,7 +191,7 @@
 	for i, m := range r.queue {
 		p := &m.packet
 		if m.pointer != nil {
-			queue[i] = fmt.Sprint("pointer to ", m.to, " of ", hostIndex(*m.pointer))
+			queue[i] = fmt.Sprint("pointer to ", m.to, " of ", agentIndex(*m.pointer))
 			continue
 		}
 		queue[i] = fmt.Sprint([]string{"search ", "query ", "assign "}[p.Kind], m.to, " ", p.Ballot, " home ", p.Home.Addr,
@@ -230,10 +230,10 @@
 	c.service.Store(a.service.Load())
 	c.current.Store(a.current.Load())
 	c.addresses.Store(a.addresses.Load())
-	if b := a.rebalance.Load(); b != nil {
-		n := &rebalancePlan{view: b.view, underloaded: b.underloaded}
-		n.quota.Store(b.quota.Load())
-		c.rebalance.Store(n)
+	if plan := a.rebalance.Load(); plan != nil {
+		clonedPlan := &rebalancePlan{view: plan.view, underloaded: plan.underloaded}
+		clonedPlan.quota.Store(plan.quota.Load())
+		c.rebalance.Store(clonedPlan)
 	}
 	c.peers.slots, c.peers.bySeed, c.peers.unresponsive = slices.Clone(a.peers.slots), a.peers.bySeed, a.peers.unresponsive
 	c.ballots.list, c.ballots.numbers = slices.Clone(a.ballots.list), maps.Clone(a.ballots.numbers)
--- a/core/flow/key.go
+++ b/core/flow/key.go
@@ -2,10 +2,11 @@
 // agent's choice between delivering a packet and relaying it.
 //
 // The agent that delivers a flow's packets owns the flow and is the only
-// authority on it. A flow without an owner is acquired by the agent that the
-// newest view places it on, after the agents that earlier views place it on
-// have promised not to acquire it; see Ballot. Other agents store pointers to
-// the owner, which avoid a search for it.
+// authority on it. The pick of a view is the agent that the view places the
+// flow on. The pick of the newest view is the flow's home, which searches for
+// the owner. If there is none, the home acquires the flow, after the picks of
+// earlier views have promised not to acquire it; see Ballot. Other agents store
+// pointers to the owner, which avoid a search for it.
 package flow
 
 import (
--- a/core/flow/packet.go
+++ b/core/flow/packet.go
@@ -113,8 +113,8 @@
 
 // IsNonOwner reports whether the agent with the given seed is in NonOwners.
 func (p *Packet) IsNonOwner(seed uint64) bool {
-	for _, d := range p.NonOwners[:p.NonOwnerCount] {
-		if d == seed {
+	for _, nonOwner := range p.NonOwners[:p.NonOwnerCount] {
+		if nonOwner == seed {
 			return true
 		}
 	}
@@ -152,7 +152,7 @@
 	NoTarget                    // no backend server takes new flows
 	WrongService                // the packet is for another service
 	WrongIncarnation            // the packet is for another run of the agent
-	WrongAddress                // the service does not have the destination address any more
+	WrongAddress                // the service does not have the destination address
 	HopLimit                    // relayed too many times
 	Malformed                   // kind or field out of range
 	reasonCount
--- a/core/flow/returnpath.go
+++ b/core/flow/returnpath.go
@@ -31,11 +31,11 @@
 	nextIndex atomic.Uint64
 }
 
-// balancerSet is an immutable snapshot of the known balancers. Only the times
-// in lastSeen change.
+// balancerSet is an immutable snapshot of the balancers that may be live. Only
+// the times in lastSeen change.
 type balancerSet struct {
-	lastSeen map[netip.AddrPort]*atomic.Int64 // Unix time in nanoseconds
-	live     []netip.AddrPort
+	lastSeen   map[netip.AddrPort]*atomic.Int64 // Unix time in nanoseconds
+	candidates []netip.AddrPort
 }
 
 // NewReturnPaths returns a ReturnPaths without balancers.
@@ -86,22 +86,21 @@
 
 // publish activates a new set of balancers. The caller holds r.mu.
 func (r *ReturnPaths) publish(lastSeen map[netip.AddrPort]*atomic.Int64) {
-	live := slices.AppendSeq(slices.Clone(r.reported), maps.Keys(lastSeen))
-	slices.SortFunc(live, netip.AddrPort.Compare)
-	r.current.Store(&balancerSet{lastSeen: lastSeen, live: slices.Compact(live)})
+	candidates := slices.AppendSeq(slices.Clone(r.reported), maps.Keys(lastSeen))
+	slices.SortFunc(candidates, netip.AddrPort.Compare)
+	r.current.Store(&balancerSet{lastSeen: lastSeen, candidates: slices.Compact(candidates)})
 }
 
-// Choose returns the balancer for one reply of a flow whose last packet was
-// carried by balancer at the time inbound. While the caller is active that is
-// the same balancer; afterwards replies rotate over all balancers that may be
-// live.
-func (r *ReturnPaths) Choose(balancer netip.AddrPort, inbound, now time.Time) netip.AddrPort {
-	if now.Sub(inbound) < callerIdleLimit {
+// Choose returns the balancer for one reply of a flow whose last packet from
+// the caller was received through balancer at receivedAt. Until callerIdleLimit
+// after that it is the same balancer; then replies rotate over all candidates.
+func (r *ReturnPaths) Choose(balancer netip.AddrPort, receivedAt, now time.Time) netip.AddrPort {
+	if now.Sub(receivedAt) < callerIdleLimit {
 		return balancer
 	}
-	live := r.current.Load().live
-	if len(live) == 0 {
+	candidates := r.current.Load().candidates
+	if len(candidates) == 0 {
 		return balancer
 	}
-	return live[r.nextIndex.Add(1)%uint64(len(live))]
+	return candidates[r.nextIndex.Add(1)%uint64(len(candidates))]
 }
--- a/core/flow/search.go
+++ b/core/flow/search.go
@@ -29,17 +29,17 @@
 		r.packet.raiseBallot(r.agent.ballots.ballot(e.promised))
 	}
 	current := r.agent.current.Load()
-	successor, superseded := r.newerPick(current)
+	pick, isSuperseded := r.newerPick(current)
 	if e != nil {
 		if action, ok := r.followEntry(e); ok {
 			return action
 		}
 	}
-	if superseded {
-		if successor.IsZero() {
+	if isSuperseded {
+		if pick.IsZero() {
 			return r.agent.drop(NoTarget)
 		}
-		return r.promiseAndSearchPick(successor, current)
+		return r.promiseAndSearchPick(pick, current)
 	}
 	if earlier, ok := r.nextEarlierHome(current); ok {
 		return r.query(earlier, true)
@@ -71,8 +71,8 @@
 	return pick, true
 }
 
-// followEntry sends the packet along e: if e is bound to a newer ballot, to the
-// home of that ballot, through the owner that e points to if there is one;
+// followEntry sends the packet along e: if e has promised a newer ballot, to
+// the home of that ballot, through the owner that e points to if there is one;
 // otherwise to the owner. It returns false if e names no agent to send it to.
 func (r *request) followEntry(e *entry) (Action, bool) {
 	promised := r.agent.ballots.ballot(e.promised)
@@ -109,7 +109,8 @@
 	return r.query(owner, !r.agent.isMember(owner)), true
 }
 
-// isMember reports whether the agent is a member of the active view.
+// isMember reports whether the active view has the agent as a member that is
+// not in state Gone. Without an active view every agent counts as a member.
 func (a *Agent) isMember(p Peer) bool {
 	c := a.current.Load()
 	if c == nil {
@@ -230,7 +231,7 @@
 }
 
 // redirectByPromise redirects home's search to the home of a newer ballot that
-// e is bound to. The promise of the superseded home is still required.
+// e has promised. The promise of the superseded home is still required.
 func (r *request) redirectByPromise(home Peer, e *entry) (Action, bool) {
 	promised := r.agent.ballots.ballot(e.promised)
 	if !promised.Newer(r.packet.Ballot) {
@@ -266,7 +267,8 @@
 
 // receiveAssign acquires a flow that its home places on this agent. If this
 // agent has an owner or a newer ballot for the flow, it processes the packet
-// like a query from the home, which is bound to the retake ballot.
+// like a query from the home under the retake ballot, which the home has
+// promised.
 func (r *request) receiveAssign() Action {
 	e := r.shard.flows.find(r.id)
 	if e == nil || e.isOwnerUnknown() && !r.agent.ballots.ballot(e.promised).Newer(r.packet.Ballot) {
@@ -355,7 +357,7 @@
 	r.packet.addNonOwner(r.agent.options.Self.Seed)
 }
 
-// raisePromise raises the ballot that the flow's entry is bound to.
+// raisePromise raises the promised ballot of the flow's entry.
 func (r *request) raisePromise(home uint32, ballot Ballot) {
 	e := r.shard.flows.insert(r.id)
 	e.lastUsed = ticks(r.now)
@@ -364,8 +366,8 @@
 	}
 }
 
-// assign delegates the ballot to other and binds this agent to the retake
-// ballot.
+// assign delegates the ballot to other and promises the retake ballot, so that
+// this agent does not acquire the flow under the delegated one.
 func (r *request) assign(other Peer) Action {
 	r.raisePromise(homeSelf, r.packet.Ballot.retakeBallot())
 	e := r.shard.flows.find(r.id)
--- a/core/flow/table.go
+++ b/core/flow/table.go
@@ -3,8 +3,8 @@
 import "math/bits"
 
 // entry is the state of one flow: whether this agent owns it or which agent its
-// pointer names, and the ballot it is bound to. The zero entry is an unused
-// place of the table.
+// pointer names, and the promised ballot. The zero entry is an unused slot of
+// the table.
 type entry struct {
 	id       ID
 	lastUsed uint32 // in ticks
