--- a/core/flow/export_test.go
+++ b/core/flow/export_test.go
@@ -9,7 +9,7 @@
 	"fulmarmount.org/core/view"
 )
 
-func TestExportKeepsOwnershipPointersAndPromises(t *testing.T) {
+func TestExportPreservesOwnershipPointersAndPromises(t *testing.T) {
 	is := is.New(t)
 	const now = 10 * time.Second
 	self, other := Peer{Seed: 1, Incarnation: 1}, Peer{Seed: 2, Incarnation: 7}
@@ -23,20 +23,20 @@
 	first := before.Export(now)
 	is.Equal(len(first), 3)
 	after := NewAgent(AgentOptions{Self: self})
-	after.Import(2*time.Second, first) // its clock has another start
+	after.Import(2*time.Second, first) // the next run has another clock start
 	second := after.Export(2 * time.Second)
 	is.Equal(second, first)
 	is.True(after.Owns(ID{Key: 1, Check: 1}))
-	is.Equal(after.owned.Load(), int64(1))
-	for _, s := range second {
-		switch s.ID.Key {
+	is.Equal(after.ownedCount.Load(), int64(1))
+	for _, r := range second {
+		switch r.ID.Key {
 		case 2:
-			is.Equal(s.Owner, other)
-			is.Equal(s.Home, other)
-			is.Equal(s.PromisedBallot, ballot)
+			is.Equal(r.Owner, other)
+			is.Equal(r.Home, other)
+			is.Equal(r.PromisedBallot, ballot)
 		case 3:
-			is.Equal(s.PromisedBallot, ballot)
-			is.True(!s.Owned && s.Owner.IsZero())
+			is.Equal(r.PromisedBallot, ballot)
+			is.True(!r.Owned && r.Owner.IsZero())
 		}
 	}
 }
