--- a/core/quorum/change.go
+++ b/core/quorum/change.go
@@ -7,8 +7,9 @@
 
 // ProposeChange proposes one membership change. Only the leader accepts it, one
 // at a time, and only after an entry of its term is committed (thesis, 4.1, and
-// its correction of 2015).
-func (r *Replica) ProposeChange(number uint64, c ConfChange) error {
+// its correction of 2015). The resulting entry carries this replica's ID and
+// proposalID.
+func (r *Replica) ProposeChange(proposalID uint64, c ConfChange) error {
 	if r.role != Leader {
 		return r.notLeader()
 	}
@@ -25,7 +26,7 @@
 	if err := r.validateChange(c, next); err != nil {
 		return err
 	}
-	e := Entry{Kind: EntryChange, Change: &c, Proposer: r.id, ProposalID: number}
+	e := Entry{Kind: EntryChange, Change: &c, Proposer: r.id, ProposalID: proposalID}
 	if err := r.appendProposal(e); err != nil {
 		return err
 	}
@@ -59,7 +60,7 @@
 		}
 		p := r.progressOf(member.ID)
 		if p == nil {
-			p = &Progress{ID: member.ID, Next: r.log.lastIndex() + 1, RecentlyActive: true}
+			p = &Progress{ID: member.ID, Next: r.log.lastIndex() + 1, ActiveSinceCheck: true}
 		}
 		next = append(next, p)
 	}
--- a/core/quorum/election.go
+++ b/core/quorum/election.go
@@ -181,30 +181,30 @@
 // checkQuorum steps down if no quorum of voters was active since the last check
 // (thesis, 6.2), so that a partitioned leader soon stops acting as leader.
 func (r *Replica) checkQuorum() {
-	if !r.log.membership().hasQuorum(r.isActiveThisWindow) {
+	if !r.log.membership().hasQuorum(r.isActiveSinceCheck) {
 		r.becomeFollower(r.term, 0)
 		return
 	}
 	for _, p := range r.progress {
-		p.activeInPreviousWindow = p.RecentlyActive
-		p.RecentlyActive = false
+		p.activeBeforeCheck = p.ActiveSinceCheck
+		p.ActiveSinceCheck = false
 	}
 }
 
-func (r *Replica) isActiveThisWindow(id ReplicaID) bool {
+func (r *Replica) isActiveSinceCheck(id ReplicaID) bool {
 	if id == r.id {
 		return true
 	}
 	p := r.progressOf(id)
-	return p != nil && p.RecentlyActive
+	return p != nil && p.ActiveSinceCheck
 }
 
-// isRecentlyActive reports whether a message arrived from the replica in the
-// current or the previous window of the quorum check. The current window alone
-// would make every replica appear inactive right after a check.
+// isRecentlyActive reports whether a message arrived from the replica since the
+// quorum check before the last one. If only the time since the last check counted,
+// every replica would appear inactive right after a check.
 func (r *Replica) isRecentlyActive(id ReplicaID) bool {
 	p := r.progressOf(id)
-	return r.isActiveThisWindow(id) || p != nil && p.activeInPreviousWindow
+	return r.isActiveSinceCheck(id) || p != nil && p.activeBeforeCheck
 }
 
 // TransferLeadership transfers leadership to a voter once its log is up to date
--- a/core/quorum/errors.go
+++ b/core/quorum/errors.go
@@ -30,6 +30,7 @@
 	// ErrLogRolledBack reports that the disk lost entries that this replica has
 	// acknowledged. The replica must stop and be replaced under a new ID.
 	ErrLogRolledBack = Errors.NewType("rolled_back")
-	// ErrInvalidState reports inconsistent saved state.
+	// ErrInvalidState reports inconsistent saved state, or an entry at which no
+	// snapshot can be created.
 	ErrInvalidState = Errors.NewType("bad_state")
 )
--- a/core/quorum/failures_test.go
+++ b/core/quorum/failures_test.go
@@ -229,7 +229,9 @@
 	is.True(errorx.IsOfType(n.r.Step(m), ErrLogRolledBack))
 }
 
-// TestVoteIsSynced covers a vote in a term that is already on disk.
+// TestVoteIsSynced covers a vote in a term that is already on disk: if the vote were
+// not synced before the response is sent, a power failure could make the replica vote
+// twice in the term.
 func TestVoteIsSynced(t *testing.T) {
 	is := is.New(t)
 	s := newSim(1, 3)
@@ -302,10 +304,10 @@
 	_, first := Bootstrap(simCluster, Member{ID: 1})
 	entry := func(index, term uint64) Entry { return Entry{Index: index, Term: term} }
 	cases := []struct {
-		name    string
-		hard    HardState
-		entries []Entry
-		bad     bool
+		name      string
+		hard      HardState
+		entries   []Entry
+		isInvalid bool
 	}{
 		{"complete log", HardState{Term: 2, Commit: 3}, []Entry{entry(2, 1), entry(3, 2)}, false},
 		{"log that starts before the snapshot", HardState{Term: 2}, []Entry{entry(1, 1), entry(2, 2)}, false},
@@ -322,7 +324,7 @@
 				ID: 1, Rand: rand.New(rand.NewPCG(1, 1)),
 				HardState: c.hard, Snapshot: first, Entries: c.entries,
 			})
-			is.Equal(errorx.IsOfType(err, ErrInvalidState), c.bad)
+			is.Equal(errorx.IsOfType(err, ErrInvalidState), c.isInvalid)
 		})
 	}
 }
--- a/core/quorum/log.go
+++ b/core/quorum/log.go
@@ -192,9 +192,9 @@
 	return remaining[:len(remaining):len(remaining)]
 }
 
-// findConflictByTerm returns the last entry at or before index whose term is at
-// most term, with its term. A log whose entry at index has that term differs
-// from this log after the returned entry.
+// findConflictByTerm returns the index and term of the last entry at or before index
+// whose term is at most term. Terms never decrease along a log, so a log with an
+// entry of that term at index cannot match this log after the returned entry.
 func (l *entryLog) findConflictByTerm(index, term uint64) (uint64, uint64) {
 	if index < l.offset {
 		return index, 0
--- a/core/quorum/progress.go
+++ b/core/quorum/progress.go
@@ -34,14 +34,14 @@
 	Match uint64 // index of the last entry known to be on the replica's disk
 	Next  uint64 // index of the next entry to send
 	State ProgressState
-	// RecentlyActive is set by any message from the replica and cleared by each
-	// quorum check.
-	RecentlyActive bool
+	// ActiveSinceCheck reports whether, since the last quorum check, a message arrived
+	// from the replica or this Progress was created.
+	ActiveSinceCheck bool
 
-	activeInPreviousWindow bool     // RecentlyActive at the last quorum check
-	probeSent              bool     // a probe awaits its response
-	inflightIndexes        []uint64 // last index of each unacknowledged append, in order
-	ackedReadRound         uint64   // latest heartbeat context acknowledged
+	activeBeforeCheck bool     // ActiveSinceCheck as of the last quorum check
+	probeSent         bool     // a probe awaits its response
+	inflightIndexes   []uint64 // last index of each unacknowledged append, in order
+	ackedReadRound    uint64   // latest heartbeat context acknowledged
 
 	snapshotIndex      uint64
 	snapshotRetryTicks int // ticks until the snapshot is resent
@@ -91,6 +91,7 @@
 }
 
 // isPaused reports whether the leader must await a response before it sends more.
+// window is the maximum number of unacknowledged appends.
 func (p *Progress) isPaused(window int) bool {
 	switch p.State {
 	case StateProbe:
--- a/core/quorum/replica.go
+++ b/core/quorum/replica.go
@@ -40,9 +40,9 @@
 	MaxInflight int
 	// Rand is the source of the random election timeouts.
 	Rand *rand.Rand
-	// HardState, Snapshot and Entries are the saved state. The Snapshot of a
-	// replica that starts a cluster has that replica as the only voter; a replica
-	// that waits to be added has none.
+	// HardState, Snapshot and Entries are the saved state. The first replicas of a
+	// cluster start from the state returned by Bootstrap. A replica that waits to be
+	// added has no Snapshot.
 	HardState HardState
 	Snapshot  Snapshot
 	Entries   []Entry
@@ -142,7 +142,7 @@
 		return err
 	}
 	if p := r.progressOf(m.From); p != nil {
-		p.RecentlyActive = true
+		p.ActiveSinceCheck = true
 	}
 	switch {
 	case m.Type == MsgPropose:
@@ -178,7 +178,9 @@
 	return nil
 }
 
-// adoptTerm adopts the greater term of m. It returns false if m must be ignored.
+// adoptTerm adopts the greater term of m, except that of a pre-vote request or a
+// granted pre-vote, which has not begun (thesis, 9.6). It returns false if m must be
+// ignored.
 func (r *Replica) adoptTerm(m Message) bool {
 	switch m.Type {
 	case MsgPreVote, MsgVote:
--- a/core/quorum/replication.go
+++ b/core/quorum/replication.go
@@ -1,11 +1,11 @@
 package quorum
 
 // Propose proposes data as the next command. A follower forwards it to its current
-// leader. The resulting entry carries this replica's ID and number, which identify
-// the proposal. A nil error only means that the proposal was sent: it may be lost
-// or, if the transport duplicates messages, applied twice.
-func (r *Replica) Propose(number uint64, data []byte) error {
-	e := Entry{Kind: EntryCommand, Data: data, Proposer: r.id, ProposalID: number}
+// leader. The resulting entry carries this replica's ID and proposalID. A nil error
+// only means that the proposal was sent: it may be lost or, if the transport
+// duplicates messages, applied twice.
+func (r *Replica) Propose(proposalID uint64, data []byte) error {
+	e := Entry{Kind: EntryCommand, Data: data, Proposer: r.id, ProposalID: proposalID}
 	if r.role == Leader {
 		return r.appendProposal(e)
 	}
@@ -158,8 +158,8 @@
 	r.tryCompleteTransfer(p)
 }
 
-// backtrack moves p.Next back to the last entry at which the logs may match. The
-// follower's hint skips a whole term per round trip (paper, section 5.3).
+// backtrack moves p.Next back to the entry after the last one at which the logs may
+// match. The follower's hint skips a whole term per round trip (paper, section 5.3).
 func (r *Replica) backtrack(p *Progress, m Message) {
 	stale := m.Index <= p.Match || p.State == StateSnapshot ||
 		p.State == StateProbe && m.Index != p.Next-1
--- a/core/quorum/sim_test.go
+++ b/core/quorum/sim_test.go
@@ -70,7 +70,7 @@
 	duplication float64
 	delay       int
 
-	lastProposalID uint64
+	lastRequestID  uint64
 	leaders        map[uint64]ReplicaID // by term
 	appliedEntries map[uint64]Entry     // by index
 	digests        map[uint64]uint64
@@ -276,18 +276,18 @@
 }
 
 func (s *sim) propose(n *node) uint64 {
-	s.lastProposalID++
-	n.proposalFloors[s.lastProposalID] = s.maxObserved
-	if err := n.r.Propose(s.lastProposalID, []byte("x")); err != nil {
-		delete(n.proposalFloors, s.lastProposalID)
+	s.lastRequestID++
+	n.proposalFloors[s.lastRequestID] = s.maxObserved
+	if err := n.r.Propose(s.lastRequestID, []byte("x")); err != nil {
+		delete(n.proposalFloors, s.lastRequestID)
 	}
-	return s.lastProposalID
+	return s.lastRequestID
 }
 
 func (s *sim) read(n *node) {
-	s.lastProposalID++
-	if n.r.ReadIndex(s.lastProposalID) == nil {
-		n.reads[s.lastProposalID] = pendingSimRead{floor: s.maxObserved}
+	s.lastRequestID++
+	if n.r.ReadIndex(s.lastRequestID) == nil {
+		n.reads[s.lastRequestID] = pendingSimRead{floor: s.maxObserved}
 	}
 }
 
--- a/core/quorum/snapshot.go
+++ b/core/quorum/snapshot.go
@@ -2,7 +2,7 @@
 
 // sendSnapshot sends the latest snapshot in place of compacted entries.
 func (r *Replica) sendSnapshot(p *Progress) {
-	if !p.RecentlyActive {
+	if !p.ActiveSinceCheck {
 		p.becomeProbe()
 		p.probeSent = true // until it responds to a heartbeat
 		return
--- a/core/quorum/start_test.go
+++ b/core/quorum/start_test.go
@@ -19,6 +19,8 @@
 	return r
 }
 
+// After a restart there may be no leader, so replicas must not wait for a full election
+// timeout before they campaign.
 func TestReplicasStartedTogetherCampaignWithinMinimumTimeout(t *testing.T) {
 	is := is.New(t)
 	for seed := range uint64(200) {
--- a/internal/group/keep.go
+++ b/internal/group/keep.go
@@ -54,7 +54,7 @@
 func stateOf(s replica.Status) roster.State {
 	active := make(map[quorum.ReplicaID]bool, len(s.Progress))
 	for _, p := range s.Progress {
-		active[p.ID] = p.RecentlyActive
+		active[p.ID] = p.ActiveSinceCheck
 	}
 	return roster.State{
 		Self: s.ID, Members: s.Membership.Members,
