--- a/core/roster/roster.go
+++ b/core/roster/roster.go
@@ -1,7 +1,7 @@
-// Package roster maintains the membership of a control group without operators:
-// it promotes learners that have caught up, and removes replicas that were
-// replaced. It never reduces the number of voters below the target and changes
-// one member at a time.
+// Package roster maintains the membership of a control group, the Raft cluster of
+// the control processes, without operators: it promotes learners that have caught
+// up, and removes members that are inactive or whose disk was replaced. It never
+// reduces the number of voters below the target and changes one member at a time.
 package roster
 
 import (
@@ -12,13 +12,14 @@
 	"fulmarmount.org/core/quorum"
 )
 
-// Options configure a Keeper.
+// Options configures a Reconciler.
 type Options struct {
 	// TargetVoters is the desired number of voters. If it is 0, every replica is
 	// promoted and none is removed.
 	TargetVoters int
 	// VoterTimeout is how long a voter must be inactive before a learner replaces
-	// it. The default is 3 s.
+	// it. A learner that has been inactive that long is not promoted. The default
+	// is 3 s.
 	VoterTimeout time.Duration
 	// LearnerTimeout is how long a learner must be inactive before it is removed.
 	// The default is 15 s.
@@ -45,7 +46,7 @@
 	return &Reconciler{options: o, lastActive: make(map[quorum.ReplicaID]time.Duration)}
 }
 
-// State is the leader's view of the group.
+// State is the leader's view of the control group.
 type State struct {
 	Self    quorum.ReplicaID
 	Members []quorum.Member
@@ -53,8 +54,9 @@
 	IsActive func(quorum.ReplicaID) bool
 }
 
-// NextChange returns the change to make now, if any. The replicated log rejects the
-// promotion of a learner that has not caught up; a later call returns it again.
+// NextChange returns the change to make now, if any. It may return the promotion of
+// a learner that has not caught up, which quorum.Replica.ProposeChange rejects; a
+// later call returns it again.
 func (r *Reconciler) NextChange(now time.Duration, s State) (quorum.ConfChange, bool) {
 	r.recordActivity(now, s)
 	if change, ok := r.findRemoval(now, s.Members, s.Self); ok {
@@ -63,7 +65,8 @@
 	return r.findPromotion(now, s.Members)
 }
 
-// UnresponsiveVoters returns the voters that were inactive for the voter timeout.
+// UnresponsiveVoters returns the voters that have been inactive for VoterTimeout,
+// based on the activity seen by earlier calls of NextChange.
 func (r *Reconciler) UnresponsiveVoters(now time.Duration, s State) []quorum.Member {
 	return slices.DeleteFunc(slices.Clone(s.Members), func(m quorum.Member) bool {
 		return m.IsLearner || !r.isUnresponsive(now, m.ID)
@@ -87,6 +90,7 @@
 	return now - r.lastActive[id]
 }
 
+// isUnresponsive reports whether a voter or learner has been inactive for VoterTimeout.
 func (r *Reconciler) isUnresponsive(now time.Duration, id quorum.ReplicaID) bool {
 	return r.inactivity(now, id) >= r.options.VoterTimeout
 }
