--- a/core/fleet/command.go
+++ b/core/fleet/command.go
@@ -27,6 +27,7 @@
 	KindRegistrations
 )
 
+// kindNames are the names of the kinds in JSON.
 var kindNames = map[CommandKind]string{
 	KindApply: "apply", KindPatch: "patch", KindRollback: "rollback", KindDrain: "drain", KindCancelDrain: "cancel drain",
 	KindImport: "import", KindRegistrations: "seats",
--- a/core/fleet/document.go
+++ b/core/fleet/document.go
@@ -111,7 +111,7 @@
 }
 
 // Normalize sorts the document and replaces empty slices by nil, so that equal
-// documents compare equal. It truncates times to the precision of a snapshot.
+// documents compare equal. It truncates times to seconds, as an encoded snapshot does.
 func (d *Document) Normalize() {
 	slices.SortStableFunc(d.Services, func(a, b Service) int { return cmp.Compare(a.Name, b.Name) })
 	slices.SortStableFunc(d.Exceptions, func(a, b Exception) int { return cmp.Compare(a.Name, b.Name) })
--- a/core/fleet/history.go
+++ b/core/fleet/history.go
@@ -65,8 +65,8 @@
 		if e.Undo.Defaults != nil {
 			combined.Defaults = e.Undo.Defaults
 		}
-		recordLatest(services, e.Undo.PutServices, e.Undo.DeleteServices, serviceName)
-		recordLatest(exceptions, e.Undo.PutExceptions, e.Undo.DeleteExceptions, exceptionName)
+		recordChanges(services, e.Undo.PutServices, e.Undo.DeleteServices, serviceName)
+		recordChanges(exceptions, e.Undo.PutExceptions, e.Undo.DeleteExceptions, exceptionName)
 	}
 	combined.PutServices, combined.DeleteServices = splitChanges(services)
 	combined.PutExceptions, combined.DeleteExceptions = splitChanges(exceptions)
@@ -74,18 +74,19 @@
 	return combined
 }
 
-// recordLatest sets the latest state of each changed item. Deleted items are nil.
-func recordLatest[T any](latest map[string]*T, put []T, deleted []string, name func(*T) string) {
+// recordChanges sets the state of each item that a patch changes, nil if it is deleted.
+// It overrides the changes of patches that were recorded before.
+func recordChanges[T any](items map[string]*T, put []T, deleted []string, name func(*T) string) {
 	for _, n := range deleted {
-		latest[n] = nil
+		items[n] = nil
 	}
 	for i := range put {
-		latest[name(&put[i])] = &put[i]
+		items[name(&put[i])] = &put[i]
 	}
 }
 
-func splitChanges[T any](latest map[string]*T) (put []T, deleted []string) {
-	for n, item := range latest {
+func splitChanges[T any](items map[string]*T) (put []T, deleted []string) {
+	for n, item := range items {
 		if item == nil {
 			deleted = append(deleted, n)
 			continue
--- a/core/fleet/seats.go
+++ b/core/fleet/seats.go
@@ -7,7 +7,8 @@
 	"slices"
 )
 
-// RegistrationChange adds and removes registered agents by address.
+// RegistrationChange adds and removes registered agents by address. In the JSON of a
+// Command, it is named seats and its fields are named taken and left.
 type RegistrationChange struct {
 	Added   []netip.AddrPort `cbor:"1,keyasint,omitempty" json:"taken,omitempty"`
 	Removed []netip.AddrPort `cbor:"2,keyasint,omitempty" json:"left,omitempty"`
--- a/core/fleet/snapshot.go
+++ b/core/fleet/snapshot.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// Restore returns a state machine with the state of s. It retains s, so a state machine
-// in the same process from which s was created must not be used afterwards.
+// Restore returns a state machine with the state of s, whose content it retains. If s was
+// returned by a state machine in the same process, that one must not be used afterwards.
 func Restore(s Snapshot) (*StateMachine, error) {
 	if s.Format != snapshotFormat {
 		return nil, ErrInvalidSnapshot.New("snapshot has format %d, not %d", s.Format, snapshotFormat)
