--- a/core/lease/example_test.go
+++ b/core/lease/example_test.go
@@ -20,7 +20,7 @@
 		fmt.Println(err)
 		return
 	}
-	fmt.Println(len(registry.Tick(time.Second))) // still collecting
+	fmt.Println(len(registry.Tick(time.Second))) // the collection period has not ended
 	for _, v := range registry.Tick(3 * time.Second) {
 		fmt.Println(v.Version, v.Members[0].ID, v.Members[0].State)
 	}
--- a/core/lease/health.go
+++ b/core/lease/health.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// HealthEstimatorOptions configure a Health. Zero values take defaults.
+// HealthEstimatorOptions configures a HealthEstimator. Zero values select the
+// defaults.
 type HealthEstimatorOptions struct {
-	// HalfLife is the time in which evidence loses half its weight.
+	// HalfLife is the time after which an outcome or a report has half its weight.
 	HalfLife time.Duration
-	// MaxReportShare is the weight of all reports together, as a part of the
-	// weight of the outcomes seen here, at most.
+	// MaxReportShare bounds the total weight of all reports, as a fraction of the
+	// total weight of the observed outcomes.
 	MaxReportShare float64
-	// MinReportLimit is the weight that reports may have, in outcomes, where
-	// little has been seen here.
+	// MinReportLimit is the lowest value of that bound, in outcomes. It applies
+	// while few outcomes have been observed.
 	MinReportLimit float64
 }
 
@@ -23,73 +24,73 @@
 	setDefault(&o.MinReportLimit, 2)
 }
 
-// HealthEstimator estimates the share of requests to one backend server that succeed,
-// from the outcomes this process has seen and from reports of others. Reports
-// lag and may mislead: seen outcomes outweigh them, and both fade with age.
-// It is not safe for concurrent use.
+// HealthEstimator estimates the fraction of requests to one backend server that
+// succeed, from the outcomes that this process observes and from reports of other
+// processes. Reports lag and may mislead, so observed outcomes outweigh them. The
+// weight of both decays with age. It is not safe for concurrent use.
 type HealthEstimator struct {
-	options HealthEstimatorOptions
-	seen    evidence
-	told    evidence
+	options  HealthEstimatorOptions
+	observed decayingCount
+	reported decayingCount
 }
 
-// evidence is a weight of successes among a weight of all, as of a time.
-type evidence struct {
-	good, all float64
-	at        time.Duration
+// decayingCount is the exponentially decayed number of successes and of all
+// samples as of updatedAt.
+type decayingCount struct {
+	successes, total float64
+	updatedAt        time.Duration
 }
 
-// prior is the weight, in outcomes, of the assumption that a backend server
-// about which nothing is known works.
-const prior = 1
+// priorWeight is the weight, in outcomes, of the prior assumption that a backend
+// server is healthy.
+const priorWeight = 1
 
-// NewHealthEstimator returns the estimate of a backend server about which nothing is
-// known: it works.
+// NewHealthEstimator returns an estimator without samples, whose score is 1.
 func NewHealthEstimator(o HealthEstimatorOptions) *HealthEstimator {
 	o.setDefaults()
 	return &HealthEstimator{options: o}
 }
 
-// RecordOutcome adds an outcome that this process saw itself.
+// RecordOutcome adds the outcome of a request that this process observed.
 func (h *HealthEstimator) RecordOutcome(now time.Duration, ok bool) {
-	h.seen.fade(now, h.options.HalfLife)
-	h.seen.add(ok)
+	h.observed.decay(now, h.options.HalfLife)
+	h.observed.add(ok)
 }
 
-// RecordReport adds a report, made at the given time, of whether the backend server
-// works.
-func (h *HealthEstimator) RecordReport(now, made time.Duration, ok bool) {
-	h.told.fade(now, h.options.HalfLife)
-	weight := math.Exp2(-float64(max(0, now-made)) / float64(h.options.HalfLife))
-	h.told.all += weight
+// RecordReport adds another process's report of whether the backend server is
+// healthy. A report older than now has a decayed weight.
+func (h *HealthEstimator) RecordReport(now, reportedAt time.Duration, ok bool) {
+	h.reported.decay(now, h.options.HalfLife)
+	weight := math.Exp2(-float64(max(0, now-reportedAt)) / float64(h.options.HalfLife))
+	h.reported.total += weight
 	if ok {
-		h.told.good += weight
+		h.reported.successes += weight
 	}
 }
 
-// Score returns the estimated share of successes, from 0 to 1.
+// Score returns the estimated fraction of successes, from 0 to 1.
 func (h *HealthEstimator) Score(now time.Duration) float64 {
-	seen, told := h.seen, h.told
-	seen.fade(now, h.options.HalfLife)
-	told.fade(now, h.options.HalfLife)
-	if limit := max(h.options.MinReportLimit, h.options.MaxReportShare*seen.all); told.all > limit {
-		told.good *= limit / told.all
-		told.all = limit
+	observed, reported := h.observed, h.reported
+	observed.decay(now, h.options.HalfLife)
+	reported.decay(now, h.options.HalfLife)
+	if limit := max(h.options.MinReportLimit, h.options.MaxReportShare*observed.total); reported.total > limit {
+		reported.successes *= limit / reported.total
+		reported.total = limit
 	}
-	return (seen.good + told.good + prior) / (seen.all + told.all + prior)
+	return (observed.successes + reported.successes + priorWeight) / (observed.total + reported.total + priorWeight)
 }
 
-func (e *evidence) fade(now, halfLife time.Duration) {
-	if now <= e.at {
+func (c *decayingCount) decay(now, halfLife time.Duration) {
+	if now <= c.updatedAt {
 		return
 	}
-	f := math.Exp2(-float64(now-e.at) / float64(halfLife))
-	e.good, e.all, e.at = e.good*f, e.all*f, now
+	factor := math.Exp2(-float64(now-c.updatedAt) / float64(halfLife))
+	c.successes, c.total, c.updatedAt = c.successes*factor, c.total*factor, now
 }
 
-func (e *evidence) add(ok bool) {
-	e.all++
+func (c *decayingCount) add(ok bool) {
+	c.total++
 	if ok {
-		e.good++
+		c.successes++
 	}
 }
--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -1,6 +1,7 @@
-// Package lease keeps the membership of services from the announcements of
-// agents. A Registry takes announcements and ticks in and gives numbered views
-// out; a Link finds connections that have gone silent between two processes.
+// Package lease maintains the membership of services from the announcements of
+// agents, each of which renews a lease. A Registry processes announcements and
+// timer ticks and produces versioned views. A Link detects an unresponsive
+// connection between two processes and replaces it.
 package lease
 
 import (
@@ -13,46 +14,47 @@
 )
 
 var (
-	errorsOfLease = errorx.NewNamespace("lease")
+	errorNamespace = errorx.NewNamespace("lease")
 
-	// ErrReplayed is the type of errors about an announcement that is older
-	// than, or as old as, one already taken.
-	ErrReplayed = errorsOfLease.NewType("replayed")
-	// ErrInvalid is the type of errors about an announcement that lacks a field.
-	ErrInvalid = errorsOfLease.NewType("invalid")
-	// ErrNotRegistered is the type of errors about a backend server not registered.
-	ErrNotRegistered = errorsOfLease.NewType("unknown")
+	// ErrReplayed reports an announcement that is not newer than the latest
+	// accepted one of its backend server.
+	ErrReplayed = errorNamespace.NewType("replayed")
+	// ErrInvalid reports an announcement without a required field.
+	ErrInvalid = errorNamespace.NewType("invalid")
+	// ErrNotRegistered reports a backend server that is not a member.
+	ErrNotRegistered = errorNamespace.NewType("unknown")
 )
 
-// Options configure a Registry. Zero values take defaults.
+// Options configures a Registry. Zero values select the defaults.
 type Options struct {
-	// LeaseDuration is how long an announcement holds.
+	// LeaseDuration is the time after which a lease expires without a further
+	// announcement.
 	LeaseDuration time.Duration
-	// Retention is how long a member whose lease has ended stays in the views as
-	// gone, and how long views name earlier placements.
+	// Retention is how long a member whose lease has expired remains in the views
+	// in state gone, and how long superseded placements remain in the views.
 	Retention time.Duration
-	// MaxPastPlacements is the number of earlier placements a view names at most.
+	// MaxPastPlacements bounds the superseded placements in a view.
 	MaxPastPlacements int
-	// WarmUpDuration is the time from the first new flows to full weight.
+	// WarmUpDuration is the time from a member's first new flows to its full weight.
 	WarmUpDuration time.Duration
-	// WarmUpSteps is the number of weights passed on the way, each of them one
-	// view change.
+	// WarmUpSteps is the number of intermediate weights during warm-up. Each takes
+	// one view change.
 	WarmUpSteps int
-	// MaxEjectedShare is the share of a service's members, from 0 to 1, that may be
-	// kept from new flows against their own will at once: for ended leases,
-	// failed health and flapping together.
+	// MaxEjectedShare bounds the fraction of a service's members, from 0 to 1, that
+	// may be ejected at the same time. Members are ejected for expired leases,
+	// failed health and flapping; draining members do not count.
 	MaxEjectedShare float64
-	// FlapWindow and FlapLimit say what flapping is: so many ended leases and
-	// restarts in that time.
+	// FlapWindow and FlapLimit define flapping: FlapLimit expired leases and
+	// restarts within FlapWindow.
 	FlapWindow time.Duration
 	FlapLimit  int
-	// HoldDownDuration is how long a flapping member gets no new flows after its last
-	// restart.
+	// HoldDownDuration is how long a flapping member gets no new flows after its
+	// last expired lease or restart.
 	HoldDownDuration time.Duration
-	// CollectionPeriod is how long the first views of an epoch wait for announcements;
-	// zero stands for Lease.
+	// CollectionPeriod is how long the first views of an epoch wait for
+	// announcements. Zero means LeaseDuration.
 	CollectionPeriod time.Duration
-	// MinPublishInterval is the time between two views of one service at least.
+	// MinPublishInterval is the minimum time between two views of one service.
 	MinPublishInterval time.Duration
 }
 
@@ -79,41 +81,44 @@
 
 // member is one registered backend server.
 type member struct {
-	id           string
-	service      view.ServiceID
-	announcement view.Announcement
-	heard        time.Duration
-	phase        view.State    // joining, warming, ready or gone
-	since        time.Duration // of the phase
-	joinedAt     view.Version  // of the first view with this run; zero before
-	drained      bool          // by an operator
-	replaced     bool          // another member has taken its address
-	flaps        []time.Duration
-	weight       uint32 // in the last view
-	state        view.State
+	id                string
+	service           view.ServiceID
+	announcement      view.Announcement
+	announcedAt       time.Duration
+	phase             view.State // joining, warming, ready or gone
+	phaseStart        time.Duration
+	joinedAt          view.Version // first view that contains this incarnation; zero before it
+	drainedByOperator bool
+	addressReassigned bool // a newer member announced the same packet address
+	flapTimes         []time.Duration
+	publishedWeight   uint32 // weight in the latest view
+	publishedState    view.State
 }
 
-// draining reports whether the member is to leave.
-func (m *member) draining() bool { return m.drained || m.announcement.Draining }
+// isDraining reports whether an operator or the backend server itself drains the
+// member.
+func (m *member) isDraining() bool { return m.drainedByOperator || m.announcement.Draining }
 
-// takesPart reports whether the member would take new flows if it were healthy.
-func (m *member) takesPart() bool {
-	return !m.draining() && !m.replaced && (m.phase == view.Warming || m.phase == view.Ready)
+// isEligible reports whether the member gets new flows unless it is ejected.
+func (m *member) isEligible() bool {
+	return !m.isDraining() && !m.addressReassigned && (m.phase == view.Warming || m.phase == view.Ready)
 }
 
-func (m *member) flapped(now, window time.Duration) {
-	m.flaps = slices.DeleteFunc(m.flaps, func(at time.Duration) bool { return now-at > window })
-	m.flaps = append(m.flaps, now)
+func (m *member) recordFlap(now, window time.Duration) {
+	m.flapTimes = slices.DeleteFunc(m.flapTimes, func(at time.Duration) bool { return now-at > window })
+	m.flapTimes = append(m.flapTimes, now)
 }
 
-// heldDown reports whether the member gets no new flows because of flapping.
-func (m *member) heldDown(now time.Duration, o *Options) bool {
-	n := len(m.flaps)
-	if n < o.FlapLimit || now-m.flaps[n-1] > o.HoldDownDuration {
+// isHeldDown reports whether the member is held down for flapping.
+func (m *member) isHeldDown(now time.Duration, o *Options) bool {
+	n := len(m.flapTimes)
+	if n < o.FlapLimit || now-m.flapTimes[n-1] > o.HoldDownDuration {
 		return false
 	}
-	return m.flaps[n-1]-m.flaps[n-o.FlapLimit] <= o.FlapWindow
+	return m.flapTimes[n-1]-m.flapTimes[n-o.FlapLimit] <= o.FlapWindow
 }
 
-// lapsed reports whether the member's lease has ended.
-func (m *member) lapsed(now time.Duration, o *Options) bool { return now-m.heard > o.LeaseDuration }
+// leaseExpired reports whether the member's lease has expired.
+func (m *member) leaseExpired(now time.Duration, o *Options) bool {
+	return now-m.announcedAt > o.LeaseDuration
+}
--- a/core/lease/link.go
+++ b/core/lease/link.go
@@ -2,38 +2,38 @@
 
 import "time"
 
-// LinkState is what is known of the path to a peer.
+// LinkState is the state of the path to a peer.
 type LinkState uint8
 
 // The states of a Link.
 const (
-	LinkUp           LinkState = iota // the connection in use answers
-	LinkUnresponsive                  // it does not; a fresh connection is being tried
-	LinkSuspect                       // neither does a fresh one
+	LinkUp           LinkState = iota // the current connection is responsive
+	LinkUnresponsive                  // the current connection is unresponsive; a replacement is being tried
+	LinkSuspect                       // a replacement connection was unresponsive as well
 )
 
-// LinkAction is what a Link asks its owner to do.
+// LinkAction is an action that a Link requests from its caller.
 type LinkAction uint8
 
 // The actions of a Link.
 const (
-	LinkNoAction         LinkAction = iota // nothing
-	LinkSendHeartbeat                      // send a heartbeat on the connection in use
-	LinkOpenReplacement                    // open a connection from a new port and send a heartbeat on it
-	LinkUseReplacement                     // use the fresh connection and close the old one
-	LinkCloseReplacement                   // close the fresh connection
+	LinkNoAction         LinkAction = iota
+	LinkSendHeartbeat               // send a heartbeat on the current connection
+	LinkOpenReplacement             // open a connection from a new port and send a heartbeat on it
+	LinkUseReplacement              // switch to the replacement connection and close the current one
+	LinkCloseReplacement            // close the replacement connection
 )
 
-// LinkOptions configure a Link. Zero values take defaults.
+// LinkOptions configures a Link. Zero values select the defaults.
 type LinkOptions struct {
 	// HeartbeatInterval is the time between heartbeats.
 	HeartbeatInterval time.Duration
-	// ReceiveTimeout is how long a connection may bring nothing before a fresh one
-	// is tried.
+	// ReceiveTimeout is how long nothing may be received on the current connection
+	// before a replacement is opened.
 	ReceiveTimeout time.Duration
-	// ReplacementTimeout is how long a fresh connection may take to answer.
+	// ReplacementTimeout is how long a replacement connection may take to respond.
 	ReplacementTimeout time.Duration
-	// RetryInterval is the time between fresh connections to a suspect peer.
+	// RetryInterval is the time between replacement connections to a suspect peer.
 	RetryInterval time.Duration
 }
 
@@ -44,68 +44,72 @@
 	setDefault(&o.RetryInterval, 2*time.Second)
 }
 
-// Link watches the connection to one peer. A connection may go silent for good
-// while new ones work, because something on the way has lost track of it; so
-// silence alone says nothing about the peer. Only a peer that a fresh connection
-// does not reach either is suspect. It is not safe for concurrent use.
+// Link monitors the connection to one peer. A device on the path, such as a NAT
+// or a firewall, may lose the state of a connection: that connection then fails
+// permanently while new ones work. A receive timeout alone is therefore no
+// evidence against the peer. A peer becomes suspect only if a replacement
+// connection from a new port is unresponsive as well. A Link is not safe for
+// concurrent use.
 type Link struct {
-	options LinkOptions
-	state   LinkState
-	heard   time.Duration
-	beat    time.Duration
-	opened  time.Duration // when the fresh connection was asked for
-	fresh   bool          // a fresh connection is open
+	options             LinkOptions
+	state               LinkState
+	receivedAt          time.Duration
+	heartbeatAt         time.Duration
+	replacementOpenedAt time.Duration // when LinkOpenReplacement was returned
+	hasReplacement      bool
 }
 
-// NewLink returns a link whose connection has just been heard.
+// NewLink returns a Link in state LinkUp, as if a message was received at now.
 func NewLink(now time.Duration, o LinkOptions) *Link {
 	o.setDefaults()
-	return &Link{options: o, heard: now, beat: now}
+	return &Link{options: o, receivedAt: now, heartbeatAt: now}
 }
 
-// State returns what is known of the path.
+// State returns the state of the path to the peer.
 func (l *Link) State() LinkState { return l.state }
 
-// RecordReceive notes that the connection in use brought something.
+// RecordReceive records that a message was received on the current connection.
 func (l *Link) RecordReceive(now time.Duration) LinkAction {
-	l.heard = now
+	l.receivedAt = now
 	l.state = LinkUp
-	if !l.fresh {
+	if !l.hasReplacement {
 		return LinkNoAction
 	}
-	l.fresh = false
+	l.hasReplacement = false
 	return LinkCloseReplacement
 }
 
-// RecordReplacementReceive notes that the fresh connection brought something.
+// RecordReplacementReceive records that a message was received on the replacement
+// connection.
 func (l *Link) RecordReplacementReceive(now time.Duration) LinkAction {
-	if !l.fresh {
+	if !l.hasReplacement {
 		return LinkNoAction
 	}
-	l.heard, l.beat = now, now
-	l.state, l.fresh = LinkUp, false
+	l.receivedAt, l.heartbeatAt = now, now
+	l.state, l.hasReplacement = LinkUp, false
 	return LinkUseReplacement
 }
 
-// Tick returns what is to be done now. Call it more often than BeatEvery.
+// Tick returns the action that is due. Call it more often than once per
+// HeartbeatInterval.
 func (l *Link) Tick(now time.Duration) LinkAction {
 	switch {
-	case l.state == LinkUp && now-l.heard > l.options.ReceiveTimeout:
+	case l.state == LinkUp && now-l.receivedAt > l.options.ReceiveTimeout:
 		l.state = LinkUnresponsive
-		return l.open(now)
-	case l.fresh && now-l.opened > l.options.ReplacementTimeout:
-		l.state, l.fresh = LinkSuspect, false
+		return l.openReplacement(now)
+	case l.hasReplacement && now-l.replacementOpenedAt > l.options.ReplacementTimeout:
+		l.state, l.hasReplacement = LinkSuspect, false
 		return LinkCloseReplacement
-	case l.state == LinkSuspect && now-l.opened > l.options.RetryInterval:
-		return l.open(now)
-	case now-l.beat >= l.options.HeartbeatInterval:
-		l.beat = now
+	case l.state == LinkSuspect && now-l.replacementOpenedAt > l.options.RetryInterval:
+		return l.openReplacement(now)
+	case now-l.heartbeatAt >= l.options.HeartbeatInterval:
+		l.heartbeatAt = now
 		return LinkSendHeartbeat
 	}
 	return LinkNoAction
 }
 
-func (l *Link) open(now time.Duration) LinkAction {
-	l.opened, l.fresh = now, true
+func (l *Link) openReplacement(now time.Duration) LinkAction {
+	l.replacementOpenedAt, l.hasReplacement = now, true
 	return LinkOpenReplacement
 }
--- a/core/lease/link_test.go
+++ b/core/lease/link_test.go
@@ -7,49 +7,52 @@
 	"github.com/matryer/is"
 )
 
-// path is a fake of what lies between two processes.
-type path struct{ old, fresh bool }
+// pathState tells on which connections a simulated path delivers messages.
+type pathState struct{ current, replacement bool }
 
-// TestLink runs a link over paths that swallow messages, and names the state and
-// the number of fresh connections and switches after it.
-func TestLink(t *testing.T) {
+// TestLinkDetectsUnresponsivePath runs a Link over simulated paths that drop
+// messages. It checks the final state and the number of replacement connections
+// opened and used.
+func TestLinkDetectsUnresponsivePath(t *testing.T) {
 	cases := []struct {
 		name             string
-		at               func(now time.Duration) path
+		pathAt           func(now time.Duration) pathState
 		state            LinkState
 		opened, switched int
 	}{
-		{"all well", func(time.Duration) path { return path{true, true} }, LinkUp, 0, 0},
-		{"the old connection goes silent for good", func(now time.Duration) path { return path{now < 5*second, true} }, LinkUp, 1, 1},
-		{"a short pause", func(now time.Duration) path { return path{now < 5*second || now > 5900*time.Millisecond, true} }, LinkUp, 0, 0},
-		{"the peer dies", func(now time.Duration) path { return path{now < 5*second, now < 5*second} }, LinkSuspect, 9, 0},
-		{"the peer comes back", func(now time.Duration) path { return path{now < 5*second, now > 20*second} }, LinkUp, 8, 1},
-		{"the old connection comes back first", func(now time.Duration) path { return path{now < 5*second || now > 7*second, false} }, LinkUp, 1, 0},
+		{"no message is lost", func(time.Duration) pathState { return pathState{true, true} }, LinkUp, 0, 0},
+		{"the current connection fails permanently", func(now time.Duration) pathState { return pathState{now < 5*second, true} }, LinkUp, 1, 1},
+		{"a pause shorter than the receive timeout", func(now time.Duration) pathState {
+			return pathState{now < 5*second || now > 5900*time.Millisecond, true}
+		}, LinkUp, 0, 0},
+		{"the peer fails", func(now time.Duration) pathState { return pathState{now < 5*second, now < 5*second} }, LinkSuspect, 9, 0},
+		{"the peer recovers", func(now time.Duration) pathState { return pathState{now < 5*second, now > 20*second} }, LinkUp, 8, 1},
+		{"the current connection recovers before a replacement responds", func(now time.Duration) pathState { return pathState{now < 5*second || now > 7*second, false} }, LinkUp, 1, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			l := NewLink(0, LinkOptions{})
 			var opened, switched int
-			onFresh, replaced := false, false
+			replacementOpen, switchedOver := false, false
 			for now := time.Duration(0); now < 24*second; now += 100 * time.Millisecond {
 				action := l.Tick(now)
-				p := c.at(now)
-				if action == LinkSendHeartbeat && (p.old || replaced && p.fresh) {
+				p := c.pathAt(now)
+				if action == LinkSendHeartbeat && (p.current || switchedOver && p.replacement) {
 					action = l.RecordReceive(now)
 				}
 				if action == LinkOpenReplacement {
 					opened++
-					onFresh = true
+					replacementOpen = true
 				}
-				if onFresh && p.fresh {
+				if replacementOpen && p.replacement {
 					action = l.RecordReplacementReceive(now)
 				}
 				if action == LinkUseReplacement {
 					switched++
-					replaced = true
+					switchedOver = true
 				}
-				onFresh = onFresh && action != LinkUseReplacement && action != LinkCloseReplacement
+				replacementOpen = replacementOpen && action != LinkUseReplacement && action != LinkCloseReplacement
 			}
 			is.Equal(l.State(), c.state)
 			is.Equal(opened, c.opened)
--- a/core/lease/publish.go
+++ b/core/lease/publish.go
@@ -9,27 +9,27 @@
 	"fulmarmount.org/core/view"
 )
 
-// update moves the members of s on and returns a new view if it differs from
-// the current one.
-func (r *Registry) update(now time.Duration, s *service) *view.View {
+// updateView advances the phases of the members of s and returns a new view if it
+// differs from the current one.
+func (r *Registry) updateView(now time.Duration, s *service) *view.View {
 	s.dirty = false
-	s.due = now + r.options.LeaseDuration
+	s.nextUpdate = now + r.options.LeaseDuration
 	ids := slices.Sorted(maps.Keys(s.members))
-	heard := r.anyHeard(now, s)
+	anyLeased := r.hasLeasedMember(now, s)
 	for _, id := range ids {
-		r.advance(now, s, s.members[id], heard)
+		r.advancePhase(now, s, s.members[id], anyLeased)
 	}
 	ids = slices.DeleteFunc(ids, func(id string) bool { return s.members[id] == nil })
-	excluded := r.excluded(now, s, ids)
-	partial := r.lacking(now)
+	ejected := r.ejectedMembers(now, s, ids)
+	partial := r.viewsPartial(now)
 	if partial {
-		s.due = min(s.due, r.partial)
+		s.nextUpdate = min(s.nextUpdate, r.partialUntil)
 	}
-	changed := s.current == nil || len(ids) != len(s.current.Members) || s.current.Partial && !partial
+	changed := s.currentView == nil || len(ids) != len(s.currentView.Members) || s.currentView.Partial && !partial
 	for i, id := range ids {
 		m := s.members[id]
-		m.state, m.weight = r.standing(now, s, m, excluded[id])
-		changed = changed || differs(&s.current.Members[i], m)
+		m.publishedState, m.publishedWeight = r.stateAndWeight(now, s, m, ejected[id])
+		changed = changed || differsFromView(&s.currentView.Members[i], m)
 	}
 	if !changed {
 		return nil
@@ -37,148 +37,150 @@
 	return r.publish(now, s, ids)
 }
 
-// anyHeard reports whether a member that takes new flows holds its lease. If
-// none does, the fault is likely on the way here.
-func (r *Registry) anyHeard(now time.Duration, s *service) bool {
+// hasLeasedMember reports whether at least one eligible member has an unexpired
+// lease. If none has, the fault is likely on the path to this process.
+func (r *Registry) hasLeasedMember(now time.Duration, s *service) bool {
 	for _, m := range s.members {
-		if m.takesPart() && !m.lapsed(now, &r.options) {
+		if m.isEligible() && !m.leaseExpired(now, &r.options) {
 			return true
 		}
 	}
 	return false
 }
 
-// advance moves one member through its phases as time passes. A member that is
-// gone is forgotten only while others are heard, so that the share in excluded
-// keeps its base.
-func (r *Registry) advance(now time.Duration, s *service, m *member, othersHeard bool) {
-	lapsed := m.lapsed(now, &r.options)
+// advancePhase applies the time-based phase transitions of one member. A member in
+// phase gone is removed only while others have unexpired leases, so that it counts
+// in the total of which ejectedMembers takes a share.
+func (r *Registry) advancePhase(now time.Duration, s *service, m *member, anyLeased bool) {
+	expired := m.leaseExpired(now, &r.options)
 	switch {
-	case m.phase == view.Gone && othersHeard && now-m.since > r.options.Retention:
-		r.remove(m)
+	case m.phase == view.Gone && anyLeased && now-m.phaseStart > r.options.Retention:
+		r.removeMember(m)
 		s.dirty = false
-	case lapsed && m.phase != view.Gone && (!m.takesPart() || m.replaced):
-		r.lapse(now, m)
-	case m.phase == view.Warming && now-m.since >= r.options.WarmUpDuration:
-		m.phase, m.since = view.Ready, now
+	case expired && m.phase != view.Gone && (!m.isEligible() || m.addressReassigned):
+		r.expireLease(now, m)
+	case m.phase == view.Warming && now-m.phaseStart >= r.options.WarmUpDuration:
+		m.phase, m.phaseStart = view.Ready, now
 	}
 	switch {
 	case m.phase == view.Warming:
-		s.due = min(s.due, now+r.options.WarmUpDuration/time.Duration(r.options.WarmUpSteps))
+		s.nextUpdate = min(s.nextUpdate, now+r.options.WarmUpDuration/time.Duration(r.options.WarmUpSteps))
 	case m.phase == view.Gone:
-		s.due = min(s.due, max(now+r.options.LeaseDuration/2, m.since+r.options.Retention+1))
-	case !lapsed:
-		s.due = min(s.due, m.heard+r.options.LeaseDuration+1)
+		s.nextUpdate = min(s.nextUpdate, max(now+r.options.LeaseDuration/2, m.phaseStart+r.options.Retention+1))
+	case !expired:
+		s.nextUpdate = min(s.nextUpdate, m.announcedAt+r.options.LeaseDuration+1)
 	}
 }
 
-func (r *Registry) lapse(now time.Duration, m *member) {
-	m.phase, m.since = view.Gone, now
-	m.flapped(now, r.options.FlapWindow)
+func (r *Registry) expireLease(now time.Duration, m *member) {
+	m.phase, m.phaseStart = view.Gone, now
+	m.recordFlap(now, r.options.FlapWindow)
 	r.stats.ExpiredLeases++
 }
 
-// excluded returns the members that are kept from new flows for an ended lease,
-// failed health or flapping, as many as the allowed share permits: those already
-// kept first, then the longest unheard. Members whose lease has ended and that are excluded are gone.
-func (r *Registry) excluded(now time.Duration, s *service, ids []string) map[string]bool {
-	var suspects []*member
+// ejectedMembers returns the members that get no new flows because of an expired
+// lease, failed health or flapping, at most Options.MaxEjectedShare of all: those
+// without new flows already come first, then those with an expired lease, each
+// ordered by their latest announcement, oldest first. It moves ejected members with
+// an expired lease to phase gone.
+func (r *Registry) ejectedMembers(now time.Duration, s *service, ids []string) map[string]bool {
+	var candidates []*member
 	total := 0
 	for _, id := range ids {
 		m := s.members[id]
-		gone := m.phase == view.Gone && !m.draining() && !m.replaced
-		if !m.takesPart() && !gone {
+		gone := m.phase == view.Gone && !m.isDraining() && !m.addressReassigned
+		if !m.isEligible() && !gone {
 			continue
 		}
 		total++
-		if gone || m.lapsed(now, &r.options) || !m.announcement.Healthy || m.heldDown(now, &r.options) {
-			suspects = append(suspects, m)
+		if gone || m.leaseExpired(now, &r.options) || !m.announcement.Healthy || m.isHeldDown(now, &r.options) {
+			candidates = append(candidates, m)
 		}
 	}
-	slices.SortStableFunc(suspects, func(a, b *member) int {
-		if c := cmp.Compare(r.suspicion(now, b), r.suspicion(now, a)); c != 0 {
+	slices.SortStableFunc(candidates, func(a, b *member) int {
+		if c := cmp.Compare(r.ejectionPriority(now, b), r.ejectionPriority(now, a)); c != 0 {
 			return c
 		}
-		return cmp.Compare(a.heard, b.heard)
+		return cmp.Compare(a.announcedAt, b.announcedAt)
 	})
 	allowed := int(r.options.MaxEjectedShare * float64(total))
-	out := make(map[string]bool, len(suspects))
-	for i, m := range suspects {
+	out := make(map[string]bool, len(candidates))
+	for i, m := range candidates {
 		if i >= allowed && m.phase != view.Gone {
 			r.stats.SkippedEjections++
 			continue
 		}
 		out[m.id] = true
-		if m.phase != view.Gone && m.lapsed(now, &r.options) {
-			r.lapse(now, m)
+		if m.phase != view.Gone && m.leaseExpired(now, &r.options) {
+			r.expireLease(now, m)
 		}
 	}
-	if len(suspects) > 0 {
-		s.due = min(s.due, now+r.options.LeaseDuration/2)
+	if len(candidates) > 0 {
+		s.nextUpdate = min(s.nextUpdate, now+r.options.LeaseDuration/2)
 	}
 	return out
 }
 
-// suspicion ranks suspects: 2 for a member already kept from new flows, 1 for one
-// whose lease has ended.
-func (r *Registry) suspicion(now time.Duration, m *member) int {
+// ejectionPriority ranks the candidates for ejection: 2 for a member that gets no
+// new flows already, 1 for one whose lease has expired, else 0.
+func (r *Registry) ejectionPriority(now time.Duration, m *member) int {
 	switch {
-	case m.phase == view.Gone || m.state != view.Joining && m.weight == 0:
+	case m.phase == view.Gone || m.publishedState != view.Joining && m.publishedWeight == 0:
 		return 2
-	case m.lapsed(now, &r.options):
+	case m.leaseExpired(now, &r.options):
 		return 1
 	default:
 		return 0
 	}
 }
 
-// standing returns a member's state and weight in the next view.
-func (r *Registry) standing(now time.Duration, s *service, m *member, excluded bool) (view.State, uint32) {
+// stateAndWeight returns a member's state and weight in the next view.
+func (r *Registry) stateAndWeight(now time.Duration, s *service, m *member, ejected bool) (view.State, uint32) {
 	switch {
-	case m.phase == view.Gone || m.replaced:
+	case m.phase == view.Gone || m.addressReassigned:
 		return view.Gone, 0
-	case m.draining():
+	case m.isDraining():
 		return view.Draining, 0
-	case m.phase == view.Joining || !r.seated(m):
+	case m.phase == view.Joining || !r.isRegistered(m):
 		return view.Joining, 0
-	case excluded:
+	case ejected:
 		return m.phase, 0
-	case m.phase == view.Warming && r.othersReady(s, m):
-		return view.Warming, r.warmWeight(r.fullWeight(m), now-m.since)
+	case m.phase == view.Warming && r.hasOtherReadyMember(s, m):
+		return view.Warming, r.warmUpWeight(r.fullWeight(m), now-m.phaseStart)
 	}
 	return m.phase, r.fullWeight(m)
 }
 
-// othersReady reports whether the service has members at full weight, beside
-// which a cold one has to be spared.
-func (r *Registry) othersReady(s *service, m *member) bool {
+// hasOtherReadyMember reports whether the service has another eligible member at
+// full weight. Without one, a warming member gets its full weight at once.
+func (r *Registry) hasOtherReadyMember(s *service, m *member) bool {
 	for _, other := range s.members {
-		if other != m && other.phase == view.Ready && other.takesPart() {
+		if other != m && other.phase == view.Ready && other.isEligible() {
 			return true
 		}
 	}
 	return false
 }
 
-// warmWeight returns the weight of a member of the given full weight that has
-// been warming for d.
-func (r *Registry) warmWeight(full uint32, d time.Duration) uint32 {
+// warmUpWeight returns the weight of a member with the given full weight after d
+// of its warm-up.
+func (r *Registry) warmUpWeight(full uint32, d time.Duration) uint32 {
 	steps := time.Duration(r.options.WarmUpSteps)
 	step := min(d*steps/r.options.WarmUpDuration+1, steps)
 	return max(min(1, full), full*uint32(step)/uint32(steps+1))
 }
 
-// differs reports whether a view's member has to be published anew.
-func differs(b *view.BackendServer, m *member) bool {
+// differsFromView reports whether m differs from its entry in the current view.
+func differsFromView(b *view.BackendServer, m *member) bool {
 	a := &m.announcement
-	return b.ID != m.id || b.State != m.state || b.Weight != m.weight || b.Incarnation != a.Incarnation ||
+	return b.ID != m.id || b.State != m.publishedState || b.Weight != m.publishedWeight || b.Incarnation != a.Incarnation ||
 		b.Packets != a.Packets || b.Requests != a.Requests || b.Slots != a.Slots || b.Zone != a.Zone
 }
 
 func (r *Registry) publish(now time.Duration, s *service, ids []string) *view.View {
-	s.remember(now, s.current, &r.options)
-	r.number++
-	version := view.Version{Epoch: r.epoch, Number: r.number}
+	s.recordPlacement(now, s.currentView, &r.options)
+	r.viewNumber++
+	version := view.Version{Epoch: r.epoch, Number: r.viewNumber}
 	members := make([]view.BackendServer, len(ids))
 	for i, id := range ids {
 		m := s.members[id]
@@ -188,10 +190,10 @@
 		members[i] = m.backendServer()
 	}
 	v := view.New(s.id, version, members)
-	v.Earlier = s.earlier(ids)
-	v.Partial = r.lacking(now)
+	v.Earlier = s.pastPlacements(ids)
+	v.Partial = r.viewsPartial(now)
 	v.Prepare()
-	s.current, s.published = v, now
+	s.currentView, s.publishedAt = v, now
 	r.stats.PublishedViews++
 	return v
 }
@@ -200,32 +202,33 @@
 	a := &m.announcement
 	return view.BackendServer{
 		ID: m.id, Zone: a.Zone, Incarnation: a.Incarnation, Packets: a.Packets, Requests: a.Requests,
-		Slots: a.Slots, State: m.state, Weight: m.weight,
+		Slots: a.Slots, State: m.publishedState, Weight: m.publishedWeight,
 	}
 }
 
-// remember adds a superseded view to the history and drops what is too old.
-func (s *service) remember(now time.Duration, v *view.View, o *Options) {
-	s.history = slices.DeleteFunc(s.history, func(p placement) bool { return now-p.until > o.Retention })
+// recordPlacement adds the placement of a superseded view to the history and
+// removes placements older than Options.Retention.
+func (s *service) recordPlacement(now time.Duration, v *view.View, o *Options) {
+	s.history = slices.DeleteFunc(s.history, func(p placement) bool { return now-p.supersededAt > o.Retention })
 	if v == nil {
 		return
 	}
-	p := placement{version: v.Version, until: now, weights: make(map[string]uint32, len(v.Members))}
+	p := placement{version: v.Version, supersededAt: now, weights: make(map[string]uint32, len(v.Members))}
 	for i := range v.Members {
 		if w := v.Members[i].PlacementWeight(); w > 0 {
 			p.weights[v.Members[i].ID] = w
 		}
 	}
 	if len(s.history) > 0 && maps.Equal(s.history[0].weights, p.weights) {
-		s.history[0].until = now
+		s.history[0].supersededAt = now
 		return
 	}
 	s.history = slices.Insert(s.history, 0, p)
 	s.history = s.history[:min(len(s.history), o.MaxPastPlacements)]
 }
 
-// earlier returns the history as weights of the members with the given IDs.
-func (s *service) earlier(ids []string) []view.Past {
+// pastPlacements returns the history, with the weights in the order of ids.
+func (s *service) pastPlacements(ids []string) []view.Past {
 	past := make([]view.Past, len(s.history))
 	for i, p := range s.history {
 		past[i] = view.Past{Version: p.version, Weights: make([]uint32, len(ids))}
--- a/core/lease/registry.go
+++ b/core/lease/registry.go
@@ -7,98 +7,98 @@
 	"fulmarmount.org/core/view"
 )
 
-// Stats are a Registry's counts since its start.
+// Stats holds the counters of a Registry since its creation.
 type Stats struct {
-	Members               int    // registered now
-	Announcements         uint64 // taken
-	ReplayedAnnouncements uint64 // refused as older than one already taken
-	InvalidAnnouncements  uint64 // refused for a missing field
-	ExpiredLeases         uint64 // leases that ended
-	SkippedEjections      uint64 // exclusions not made because of Options.MaxEjected
-	PublishedViews        uint64 // published
+	Members               int    // current members of all services
+	Announcements         uint64 // accepted announcements
+	ReplayedAnnouncements uint64 // rejected with ErrReplayed
+	InvalidAnnouncements  uint64 // rejected with ErrInvalid
+	ExpiredLeases         uint64
+	SkippedEjections      uint64 // ejections prevented by Options.MaxEjectedShare
+	PublishedViews        uint64
 }
 
-// Registry keeps the members of services and publishes their views. It is not
-// safe for concurrent use. Times are durations since any fixed start; equal
-// inputs give equal views.
+// Registry maintains the members of services and publishes their views. It is not
+// safe for concurrent use. Times are durations since an arbitrary fixed start. The
+// views are a deterministic function of the inputs.
 type Registry struct {
-	options  Options
-	members  map[string]*member
-	services map[view.ServiceID]*service
-	order    []view.ServiceID // keys of services, sorted
-	drained  map[string]bool
-	epoch    uint64
-	number   uint64
-	collects time.Duration // the end of the time for collecting announcements
-	partial  time.Duration // the end of the time in which views are partial
-	leading  bool
-	stats    Stats
-	seats    *seats // nil where the durable state keeps none
-	// weigh returns the weight of a member at full strength; nil stands for
-	// view.FullWeight.
-	weigh func(a *view.Announcement) uint32
+	options      Options
+	members      map[string]*member
+	services     map[view.ServiceID]*service
+	serviceIDs   []view.ServiceID // keys of services, sorted
+	drainedIDs   map[string]bool
+	epoch        uint64
+	viewNumber   uint64
+	collectUntil time.Duration // end of the collection period
+	partialUntil time.Duration // end of the period in which views are partial
+	isLeading    bool
+	stats        Stats
+	registered   *registeredAgents // nil without durable registrations
+	// weightFunc returns the full weight of a member. Nil means view.FullWeight.
+	weightFunc func(a *view.Announcement) uint32
 }
 
 // service is the membership of one service.
 type service struct {
-	id        view.ServiceID
-	members   map[string]*member
-	dirty     bool
-	due       time.Duration // no member changes by itself before
-	published time.Duration
-	current   *view.View
-	history   []placement // the newest first
+	id          view.ServiceID
+	members     map[string]*member
+	dirty       bool
+	nextUpdate  time.Duration // time of the next time-based change of a member
+	publishedAt time.Duration
+	currentView *view.View
+	history     []placement // newest first
 }
 
-// placement is the weights of a published version.
+// placement holds the weights of a superseded view by member ID.
 type placement struct {
-	version view.Version
-	until   time.Duration // when the version was superseded
-	weights map[string]uint32
+	version      view.Version
+	supersededAt time.Duration
+	weights      map[string]uint32
 }
 
-// NewRegistry returns a registry without members that publishes nothing before
-// StartEpoch.
+// NewRegistry returns a Registry without members. It publishes no views before
+// StartEpoch is called.
 func NewRegistry(o Options) *Registry {
 	o.setDefaults()
 	return &Registry{
-		options:  o,
-		members:  make(map[string]*member),
-		services: make(map[view.ServiceID]*service),
-		drained:  make(map[string]bool),
+		options:    o,
+		members:    make(map[string]*member),
+		services:   make(map[view.ServiceID]*service),
+		drainedIDs: make(map[string]bool),
 	}
 }
 
-// partialLeases is the number of lease times in which all members have
-// announced themselves to a new leader.
-const partialLeases = 2
-
-// StartEpoch starts an epoch. The registry collects announcements for Options.Collect
-// before it publishes the epoch's first views. Views of an earlier epoch, where
-// known, keep the weights of members that announce themselves again.
-func (r *Registry) StartEpoch(now time.Duration, epoch uint64, earlier []*view.View) {
-	r.epoch, r.number, r.leading = epoch, 0, true
-	r.collects = now + r.options.CollectionPeriod
-	r.partial = now + partialLeases*r.options.LeaseDuration
-	for _, v := range earlier {
-		r.restore(now, v)
+// partialLeaseTimes is the number of lease durations after which all members are
+// assumed to have announced themselves to a new leader.
+const partialLeaseTimes = 2
+
+// StartEpoch starts an epoch. The registry collects announcements for
+// Options.CollectionPeriod before it publishes the first views of the epoch.
+// Members of earlierViews that announce themselves again keep their weights.
+func (r *Registry) StartEpoch(now time.Duration, epoch uint64, earlierViews []*view.View) {
+	r.epoch, r.viewNumber, r.isLeading = epoch, 0, true
+	r.collectUntil = now + r.options.CollectionPeriod
+	r.partialUntil = now + partialLeaseTimes*r.options.LeaseDuration
+	for _, v := range earlierViews {
+		r.restoreView(now, v)
 	}
 	for _, s := range r.services {
 		s.dirty = true
 	}
 }
 
-// restore takes the members of an earlier epoch's view as heard just now.
-func (r *Registry) restore(now time.Duration, v *view.View) {
-	s := r.service(v.Service)
+// restoreView adds the members of a view of an earlier epoch, each with a lease
+// that starts now.
+func (r *Registry) restoreView(now time.Duration, v *view.View) {
+	s := r.ensureService(v.Service)
 	for i := range v.Members {
 		b := &v.Members[i]
 		if r.members[b.ID] != nil || b.State == view.Gone {
 			continue
 		}
 		m := &member{
-			id: b.ID, service: v.Service, heard: now, phase: b.State, since: now,
-			joinedAt: v.Version, drained: r.drained[b.ID],
+			id: b.ID, service: v.Service, announcedAt: now, phase: b.State, phaseStart: now,
+			joinedAt: v.Version, drainedByOperator: r.drainedIDs[b.ID],
 		}
 		m.announcement = view.Announcement{
 			ID: b.ID, Zone: b.Zone, Incarnation: b.Incarnation, Healthy: true,
@@ -109,177 +109,180 @@
 		}
 		s.members[b.ID], r.members[b.ID] = m, m
 	}
-	if s.current == nil || v.Version.Newer(s.current.Version) {
-		s.remember(now, s.current, &r.options)
-		s.current = v
+	if s.currentView == nil || v.Version.Newer(s.currentView.Version) {
+		s.recordPlacement(now, s.currentView, &r.options)
+		s.currentView = v
 	}
 }
 
-// EndEpoch stops publishing, for a registry that no longer leads.
-func (r *Registry) EndEpoch() { r.leading = false }
+// EndEpoch stops publishing views. Call it when this process loses leadership.
+func (r *Registry) EndEpoch() { r.isLeading = false }
 
-// Announce takes an agent's announcement for a service. Errors are of type
-// ErrInvalid and ErrReplayed.
+// Announce processes an agent's announcement for a service and renews its lease.
+// It returns an error of type ErrInvalid or ErrReplayed if the announcement is
+// rejected.
 func (r *Registry) Announce(now time.Duration, id view.ServiceID, a view.Announcement) error {
 	if a.ID == "" || a.Incarnation == 0 || !a.Packets.IsValid() {
 		r.stats.InvalidAnnouncements++
 		return ErrInvalid.New("announcement of %q for service %d has no ID, incarnation or packet address", a.ID, id)
 	}
 	m := r.members[a.ID]
-	if m != nil && !follows(&a, &m.announcement) {
+	if m != nil && !isNewer(&a, &m.announcement) {
 		r.stats.ReplayedAnnouncements++
-		return ErrReplayed.New("announcement %d of run %d of %q is not newer than %d of run %d",
+		return ErrReplayed.New("announcement %d of incarnation %d of %q is not newer than %d of incarnation %d",
 			a.Sequence, a.Incarnation, a.ID, m.announcement.Sequence, m.announcement.Incarnation)
 	}
 	r.stats.Announcements++
 	switch {
 	case m == nil:
-		m = r.join(now, id, a)
+		m = r.addMember(now, id, a)
 	case m.service != id:
-		r.remove(m)
-		m = r.join(now, id, a)
+		r.removeMember(m)
+		m = r.addMember(now, id, a)
 	case m.announcement.Incarnation != a.Incarnation:
-		r.restarted(now, m, &a)
+		r.restartMember(now, m, &a)
 	}
 	if m.phase == view.Joining && a.Authoritative {
 		m.phase = view.Warming
 	}
-	r.renew(now, m, a)
-	r.arrived(a.Packets)
+	r.renewLease(now, m, a)
+	r.recordAnnounced(a.Packets)
 	return nil
 }
 
-// follows reports whether a is newer than known.
-func follows(a, known *view.Announcement) bool {
-	if a.Incarnation != known.Incarnation {
-		return a.Incarnation > known.Incarnation
+// isNewer reports whether a is newer than the latest accepted announcement.
+func isNewer(a, latest *view.Announcement) bool {
+	if a.Incarnation != latest.Incarnation {
+		return a.Incarnation > latest.Incarnation
 	}
-	return a.Sequence > known.Sequence
+	return a.Sequence > latest.Sequence
 }
 
-func (r *Registry) join(now time.Duration, id view.ServiceID, a view.Announcement) *member {
-	m := &member{id: a.ID, service: id, phase: view.Joining, since: now, drained: r.drained[a.ID]}
-	if r.collecting(now) && a.Holds != (view.Version{}) {
-		m.phase = view.Ready // a member of the earlier epoch
+func (r *Registry) addMember(now time.Duration, id view.ServiceID, a view.Announcement) *member {
+	m := &member{id: a.ID, service: id, phase: view.Joining, phaseStart: now, drainedByOperator: r.drainedIDs[a.ID]}
+	if r.isCollecting(now) && a.Holds != (view.Version{}) {
+		m.phase = view.Ready // it was a member in the previous epoch
 	}
 	r.members[a.ID] = m
-	s := r.service(id)
+	s := r.ensureService(id)
 	s.members[a.ID] = m
 	for _, other := range s.members {
 		if other != m && other.announcement.Packets == a.Packets {
-			other.replaced = true
+			other.addressReassigned = true
 		}
 	}
 	return m
 }
 
-// collecting reports whether the first views of the epoch still wait for
-// announcements. Where the seats are known, they wait no longer than for these.
-func (r *Registry) collecting(now time.Duration) bool {
-	return !r.leading || now < r.collects && !r.allHeard()
+// isCollecting reports whether the first views of the epoch still wait for
+// announcements. If the registered agents are set, the wait ends once all of them
+// have announced themselves.
+func (r *Registry) isCollecting(now time.Duration) bool {
+	return !r.isLeading || now < r.collectUntil && !r.allAnnounced()
 }
 
-// restarted begins the membership of a new run of a known backend server.
-func (r *Registry) restarted(now time.Duration, m *member, a *view.Announcement) {
-	m.flapped(now, r.options.FlapWindow)
-	m.phase, m.since, m.joinedAt = view.Joining, now, view.Version{}
-	if r.collecting(now) && a.Holds != (view.Version{}) {
+// restartMember resets the phase of a member for a new incarnation.
+func (r *Registry) restartMember(now time.Duration, m *member, a *view.Announcement) {
+	m.recordFlap(now, r.options.FlapWindow)
+	m.phase, m.phaseStart, m.joinedAt = view.Joining, now, view.Version{}
+	if r.isCollecting(now) && a.Holds != (view.Version{}) {
 		m.phase = view.Ready
 	}
 }
 
-func (r *Registry) renew(now time.Duration, m *member, a view.Announcement) {
+func (r *Registry) renewLease(now time.Duration, m *member, a view.Announcement) {
 	old := &m.announcement
 	s := r.services[m.service]
 	if old.Packets != a.Packets || old.Requests != a.Requests || old.Incarnation != a.Incarnation ||
 		old.Draining != a.Draining || old.Healthy != a.Healthy || old.Slots != a.Slots || old.Zone != a.Zone {
 		s.dirty = true
 	}
-	if m.phase == view.Gone { // the same run is heard again
-		m.phase, m.since = view.Ready, now
+	if m.phase == view.Gone { // the incarnation that left the views is back
+		m.phase, m.phaseStart = view.Ready, now
 		s.dirty = true
 	}
 	if m.phase == view.Joining && m.joinedAt != (view.Version{}) && !m.joinedAt.Newer(a.Holds) {
-		m.phase, m.since = view.Warming, now
+		m.phase, m.phaseStart = view.Warming, now
 		s.dirty = true
 	}
-	m.announcement, m.heard, m.replaced = a, now, false
+	m.announcement, m.announcedAt, m.addressReassigned = a, now, false
 }
 
-func (r *Registry) service(id view.ServiceID) *service {
+func (r *Registry) ensureService(id view.ServiceID) *service {
 	s := r.services[id]
 	if s == nil {
 		s = &service{id: id, members: make(map[string]*member), dirty: true}
 		r.services[id] = s
-		i, _ := slices.BinarySearch(r.order, id)
-		r.order = slices.Insert(r.order, i, id)
+		i, _ := slices.BinarySearch(r.serviceIDs, id)
+		r.serviceIDs = slices.Insert(r.serviceIDs, i, id)
 	}
 	return s
 }
 
-// SetDrained replaces the set of backend servers that operators have drained.
-// It may name ones that are not registered yet.
+// SetDrained replaces the set of backend servers that operators have drained. IDs
+// of backend servers that are no members yet are allowed.
 func (r *Registry) SetDrained(ids []string) {
-	clear(r.drained)
+	clear(r.drainedIDs)
 	for _, id := range ids {
-		r.drained[id] = true
+		r.drainedIDs[id] = true
 	}
 	for id, m := range r.members {
-		if m.drained != r.drained[id] {
-			m.drained = r.drained[id]
+		if m.drainedByOperator != r.drainedIDs[id] {
+			m.drainedByOperator = r.drainedIDs[id]
 			r.services[m.service].dirty = true
 		}
 	}
 }
 
-// SetWeightFunc sets how the weight of a member at full strength is found; nil
-// gives every member view.FullWeight. Set it anew when its results change.
-func (r *Registry) SetWeightFunc(weigh func(a *view.Announcement) uint32) {
-	r.weigh = weigh
-	r.touch()
+// SetWeightFunc sets the function that returns the full weight of a member. Nil
+// gives every member view.FullWeight. Call it again when the function's results
+// change.
+func (r *Registry) SetWeightFunc(weightFunc func(a *view.Announcement) uint32) {
+	r.weightFunc = weightFunc
+	r.markAllDirty()
 }
 
 // SetOptions replaces the options.
 func (r *Registry) SetOptions(o Options) {
 	o.setDefaults()
 	r.options = o
-	r.touch()
+	r.markAllDirty()
 }
 
-// fullWeight returns the weight of a ready member.
+// fullWeight returns the weight of a member after its warm-up.
 func (r *Registry) fullWeight(m *member) uint32 {
-	if r.weigh == nil {
+	if r.weightFunc == nil {
 		return view.FullWeight
 	}
-	return r.weigh(&m.announcement)
+	return r.weightFunc(&m.announcement)
 }
 
-// touch has every service looked at by the next Tick.
-func (r *Registry) touch() {
+// markAllDirty makes the next Tick check every service for changes.
+func (r *Registry) markAllDirty() {
 	for _, s := range r.services {
 		s.dirty = true
 	}
 }
 
-// Remove forgets a backend server, for an operator who knows that it will not
-// return. The error is of type ErrUnknown.
+// Remove removes a backend server that, as an operator knows, will not return. It
+// returns an error of type ErrNotRegistered if there is none with the ID.
 func (r *Registry) Remove(id string) error {
 	m := r.members[id]
 	if m == nil {
 		return ErrNotRegistered.New("backend server %q is not registered", id)
 	}
-	r.remove(m)
+	r.removeMember(m)
 	return nil
 }
 
-func (r *Registry) remove(m *member) {
+func (r *Registry) removeMember(m *member) {
 	s := r.services[m.service]
 	delete(s.members, m.id)
 	delete(r.members, m.id)
 	s.dirty = true
 }
 
-// RemoveService forgets a service with its members.
+// RemoveService removes a service with its members.
 func (r *Registry) RemoveService(id view.ServiceID) {
 	s := r.services[id]
 	if s == nil {
@@ -289,19 +292,20 @@
 		delete(r.members, member)
 	}
 	delete(r.services, id)
-	i, _ := slices.BinarySearch(r.order, id)
-	r.order = slices.Delete(r.order, i, i+1)
+	i, _ := slices.BinarySearch(r.serviceIDs, id)
+	r.serviceIDs = slices.Delete(r.serviceIDs, i, i+1)
 }
 
-// CollectionComplete reports whether enough was heard for the first views of the epoch.
+// CollectionComplete reports whether enough agents have announced themselves for
+// the first views of the epoch, or the collection period has ended.
 func (r *Registry) CollectionComplete(now time.Duration) bool {
-	return r.leading && (!r.collecting(now) || r.mostHeard())
+	return r.isLeading && (!r.isCollecting(now) || r.mostAnnounced())
 }
 
-// FirstViewsDue reports whether enough was heard for the first views of the epoch
-// and none was published.
+// FirstViewsDue reports whether collection is complete and no view of the epoch was
+// published yet.
 func (r *Registry) FirstViewsDue(now time.Duration) bool {
-	return r.number == 0 && r.CollectionComplete(now)
+	return r.viewNumber == 0 && r.CollectionComplete(now)
 }
 
 // Tick returns the views that have changed, in the order of their services.
@@ -309,38 +313,38 @@
 	if !r.CollectionComplete(now) {
 		return nil
 	}
-	collecting := r.collecting(now)
+	collecting := r.isCollecting(now)
 	var out []*view.View
-	for _, id := range r.order {
+	for _, id := range r.serviceIDs {
 		s := r.services[id]
-		if collecting && !s.authoritative() || !s.dirty && now < s.due || r.tooSoon(now, s) {
+		if collecting && !s.isAuthoritative() || !s.dirty && now < s.nextUpdate || r.inPublishInterval(now, s) {
 			continue
 		}
-		if v := r.update(now, s); v != nil {
+		if v := r.updateView(now, s); v != nil {
 			out = append(out, v)
 		}
 	}
 	return out
 }
 
-// tooSoon reports whether a service's newest view is too young for another one. A
-// whole view follows a partial one at once.
-func (r *Registry) tooSoon(now time.Duration, s *service) bool {
-	if s.current == nil || s.published == 0 || s.current.Partial && !r.lacking(now) {
+// inPublishInterval reports whether Options.MinPublishInterval delays the next view
+// of a service. A complete view follows a partial one without delay.
+func (r *Registry) inPublishInterval(now time.Duration, s *service) bool {
+	if s.currentView == nil || s.publishedAt == 0 || s.currentView.Partial && !r.viewsPartial(now) {
 		return false
 	}
-	return now-s.published < r.options.MinPublishInterval
+	return now-s.publishedAt < r.options.MinPublishInterval
 }
 
-// View returns the newest view of a service, or nil.
+// View returns the current view of a service, or nil.
 func (r *Registry) View(id view.ServiceID) *view.View {
 	if s := r.services[id]; s != nil {
-		return s.current
+		return s.currentView
 	}
 	return nil
 }
 
-// Stats returns the counts.
+// Stats returns the current counters.
 func (r *Registry) Stats() Stats {
 	s := r.stats
 	s.Members = len(r.members)
--- a/core/lease/seats.go
+++ b/core/lease/seats.go
@@ -8,65 +8,71 @@
 	"fulmarmount.org/core/view"
 )
 
-// seats are the addresses of agents that the fleet's durable state knows. A view
-// is whole once every one of them was heard.
-type seats struct {
-	known map[netip.AddrPort]bool
-	// awaited are those that were not heard in this epoch.
-	awaited map[netip.AddrPort]bool
+// registeredAgents holds the packet addresses of the agents in the fleet's durable
+// state. Views are complete once all of them have announced themselves.
+type registeredAgents struct {
+	addrs map[netip.AddrPort]bool
+	// unannounced holds the agents without an announcement in this epoch.
+	unannounced map[netip.AddrPort]bool
 }
 
-// SetRegisteredAgents puts the seats of the durable state in force. Members of authoritative
-// backend servers join views only when they have one, so that the next leader
-// knows of all members. Without SetRegisteredAgents every member has one.
+// SetRegisteredAgents sets the packet addresses of the agents that are registered
+// in the durable state. A member with an authoritative backend server gets flows
+// only after its agent is registered, so that the next leader knows of every member
+// that may own flows. Until SetRegisteredAgents is called, every agent counts as
+// registered.
 func (r *Registry) SetRegisteredAgents(addrs []netip.AddrPort) {
-	heard := make(map[netip.AddrPort]bool, len(r.members))
+	announced := make(map[netip.AddrPort]bool, len(r.members))
 	for _, m := range r.members {
-		heard[m.announcement.Packets] = true
+		announced[m.announcement.Packets] = true
 	}
-	next := &seats{known: make(map[netip.AddrPort]bool, len(addrs)), awaited: make(map[netip.AddrPort]bool)}
+	registered := &registeredAgents{addrs: make(map[netip.AddrPort]bool, len(addrs)), unannounced: make(map[netip.AddrPort]bool)}
 	for _, addr := range addrs {
-		next.known[addr] = true
-		if !heard[addr] && (r.seats == nil || r.seats.awaited[addr]) {
-			next.awaited[addr] = true
+		registered.addrs[addr] = true
+		if !announced[addr] && (r.registered == nil || r.registered.unannounced[addr]) {
+			registered.unannounced[addr] = true
 		}
 	}
-	r.seats = next
-	r.touch()
+	r.registered = registered
+	r.markAllDirty()
 }
 
-// UnregisteredAgents returns the addresses of members that have no seat.
+// UnregisteredAgents returns the packet addresses of members whose agents are not
+// registered.
 func (r *Registry) UnregisteredAgents() []netip.AddrPort {
-	if r.seats == nil {
+	if r.registered == nil {
 		return nil
 	}
 	var out []netip.AddrPort
 	for _, m := range r.members {
-		if !r.seated(m) && m.phase != view.Gone && !m.announcement.Ended {
+		if !r.isRegistered(m) && m.phase != view.Gone && !m.announcement.Ended {
 			out = append(out, m.announcement.Packets)
 		}
 	}
 	return out
 }
 
-// vacantAfter is how long a member is gone before its seat is given up.
-const vacantAfter = 10 * time.Second
+// registrationGracePeriod is how long a member is in phase gone before its
+// registration becomes stale.
+const registrationGracePeriod = 10 * time.Second
 
-// StaleRegistrations returns the seats that hold no flows any more: their backend servers
-// have ended or are gone for long, or nobody has announced itself in time.
+// StaleRegistrations returns the registered addresses that own no flows any more:
+// their backend servers have ended or have been in phase gone for
+// registrationGracePeriod, or no agent has announced itself before the end of the
+// partial period.
 func (r *Registry) StaleRegistrations(now time.Duration) []netip.AddrPort {
-	if r.seats == nil {
+	if r.registered == nil {
 		return nil
 	}
-	held := make(map[netip.AddrPort]bool, len(r.members))
+	mayHoldFlows := make(map[netip.AddrPort]bool, len(r.members))
 	for _, m := range r.members {
 		addr := m.announcement.Packets
-		held[addr] = held[addr] || r.holdsFlows(now, m)
+		mayHoldFlows[addr] = mayHoldFlows[addr] || r.mayHoldFlows(now, m)
 	}
 	var out []netip.AddrPort
-	for addr := range r.seats.known {
-		holds, heard := held[addr]
-		if !holds && (heard || now >= r.partial) {
+	for addr := range r.registered.addrs {
+		hasFlows, announced := mayHoldFlows[addr]
+		if !hasFlows && (announced || now >= r.partialUntil) {
 			out = append(out, addr)
 		}
 	}
@@ -74,37 +80,41 @@
 	return out
 }
 
-// holdsFlows reports whether callers may still have flows at a member.
-func (r *Registry) holdsFlows(now time.Duration, m *member) bool {
-	return !m.announcement.Ended && (m.phase != view.Gone || now-m.since < vacantAfter)
+// mayHoldFlows reports whether callers may still have flows to a member.
+func (r *Registry) mayHoldFlows(now time.Duration, m *member) bool {
+	return !m.announcement.Ended && (m.phase != view.Gone || now-m.phaseStart < registrationGracePeriod)
 }
 
-func (r *Registry) seated(m *member) bool {
-	return r.seats == nil || !m.announcement.Authoritative || r.seats.known[m.announcement.Packets]
+func (r *Registry) isRegistered(m *member) bool {
+	return r.registered == nil || !m.announcement.Authoritative || r.registered.addrs[m.announcement.Packets]
 }
 
-// arrived notes that the agent at an address was heard.
-func (r *Registry) arrived(addr netip.AddrPort) {
-	if r.seats == nil || !r.seats.awaited[addr] {
+// recordAnnounced records that the agent at addr has announced itself.
+func (r *Registry) recordAnnounced(addr netip.AddrPort) {
+	if r.registered == nil || !r.registered.unannounced[addr] {
 		return
 	}
-	delete(r.seats.awaited, addr)
-	if len(r.seats.awaited) == 0 {
-		r.touch()
+	delete(r.registered.unannounced, addr)
+	if len(r.registered.unannounced) == 0 {
+		r.markAllDirty()
 	}
 }
 
-// allHeard reports whether every seat is known to have been heard.
-func (r *Registry) allHeard() bool { return r.seats != nil && len(r.seats.awaited) == 0 }
+// allAnnounced reports whether the registered agents are set and all of them have
+// announced themselves.
+func (r *Registry) allAnnounced() bool {
+	return r.registered != nil && len(r.registered.unannounced) == 0
+}
 
-// mostHeard reports whether at least three of four seats were heard.
-func (r *Registry) mostHeard() bool {
-	return r.seats != nil && 4*len(r.seats.awaited) <= len(r.seats.known)
+// mostAnnounced reports whether at least three quarters of the registered agents
+// have announced themselves.
+func (r *Registry) mostAnnounced() bool {
+	return r.registered != nil && 4*len(r.registered.unannounced) <= len(r.registered.addrs)
 }
 
-// authoritative reports whether a service has members and all of them know their
-// flows, so that a view without others ends none.
-func (s *service) authoritative() bool {
+// isAuthoritative reports whether a service has members and all of their backend
+// servers know their own flows. A view that lacks other members then ends no flows.
+func (s *service) isAuthoritative() bool {
 	for _, m := range s.members {
 		if !m.announcement.Authoritative {
 			return false
@@ -113,7 +123,8 @@
 	return len(s.members) > 0
 }
 
-// lacking reports whether views may lack members that exist.
-func (r *Registry) lacking(now time.Duration) bool {
-	return now < r.partial && !r.allHeard()
+// viewsPartial reports whether views may lack members that have not announced
+// themselves in this epoch.
+func (r *Registry) viewsPartial(now time.Duration) bool {
+	return now < r.partialUntil && !r.allAnnounced()
 }
--- a/core/lease/status.go
+++ b/core/lease/status.go
@@ -8,7 +8,7 @@
 	"fulmarmount.org/core/view"
 )
 
-// MemberStatus is what operators see of one backend server.
+// MemberStatus is the status of one backend server as reported to operators.
 type MemberStatus struct {
 	ID          string           `json:"id"`
 	Service     view.ServiceID   `json:"service"`
@@ -16,14 +16,15 @@
 	Incarnation view.Incarnation `json:"incarnation"`
 	State       string           `json:"state"`
 	Weight      uint32           `json:"weight"`
-	// Flows is the number of flows the agent last said it owns.
+	// Flows is the number of owned flows in the latest announcement.
 	Flows uint32 `json:"flows"`
-	// Load is the number of requests running or queued.
+	// Load is the number of running and queued requests.
 	Load uint32 `json:"load"`
-	// AnnouncementAge is the time since the last announcement.
+	// AnnouncementAge is the time since the latest announcement.
 	AnnouncementAge time.Duration `json:"unheard_ns"`
-	// Reasons tell why the member gets no new flows, or would get none if more
-	// of its service were in force.
+	// Reasons lists the conditions that exclude the member from new flows. A
+	// listed condition has no effect while Options.MaxEjectedShare prevents the
+	// ejection.
 	Reasons []string `json:"reasons,omitempty"`
 }
 
@@ -38,48 +39,49 @@
 		m := s.members[key]
 		a := &m.announcement
 		out = append(out, MemberStatus{
-			ID: m.id, Service: id, Zone: a.Zone, Incarnation: a.Incarnation, State: m.state.String(), Weight: m.weight,
-			Flows: a.Flows, Load: a.Load, AnnouncementAge: now - m.heard, Reasons: r.reasons(now, m),
+			ID: m.id, Service: id, Zone: a.Zone, Incarnation: a.Incarnation, State: m.publishedState.String(), Weight: m.publishedWeight,
+			Flows: a.Flows, Load: a.Load, AnnouncementAge: now - m.announcedAt, Reasons: r.exclusionReasons(now, m),
 		})
 	}
 	return out
 }
 
-func (r *Registry) reasons(now time.Duration, m *member) []string {
+func (r *Registry) exclusionReasons(now time.Duration, m *member) []string {
 	all := []struct {
-		holds bool
-		text  string
+		applies bool
+		text    string
 	}{
-		{m.drained, "drained by an operator"},
-		{m.announcement.Draining, "asks to leave"},
+		{m.drainedByOperator, "drained by an operator"},
+		{m.announcement.Draining, "draining as announced by its agent"},
 		{m.phase == view.Joining, "has not adopted a view yet"},
-		{m.replaced, "its address was taken by another backend server"},
-		{m.lapsed(now, &r.options), "lease ended"},
-		{!m.announcement.Healthy, "its agent finds it failing"},
-		{m.heldDown(now, &r.options), "held down for flapping"},
+		{m.addressReassigned, "its address was announced by another backend server"},
+		{m.leaseExpired(now, &r.options), "lease expired"},
+		{!m.announcement.Healthy, "reported as unhealthy by its agent"},
+		{m.isHeldDown(now, &r.options), "held down for flapping"},
 	}
 	var out []string
 	for _, reason := range all {
-		if reason.holds {
+		if reason.applies {
 			out = append(out, reason.text)
 		}
 	}
 	return out
 }
 
-// Loads returns the flows owned by members of a service that are heard: by all,
-// or by limit of them around the member with the given ID.
-func (r *Registry) Loads(now time.Duration, id view.ServiceID, around string, limit int) []view.Load {
+// Loads returns the number of flows of the members of a service with unexpired
+// leases. If the service has more than limit members, it considers only limit of
+// them, adjacent to nearID in the view's order.
+func (r *Registry) Loads(now time.Duration, id view.ServiceID, nearID string, limit int) []view.Load {
 	v := r.View(id)
 	if v == nil {
 		return nil
 	}
 	s, n := r.services[id], len(v.Members)
-	start := max(0, v.Find(around)-limit/2)
+	start := max(0, v.Find(nearID)-limit/2)
 	out := make([]view.Load, 0, min(n, limit))
 	for i := range min(n, limit) {
 		key := v.Members[(start+i)%n].ID
-		if m := s.members[key]; m != nil && !m.lapsed(now, &r.options) {
+		if m := s.members[key]; m != nil && !m.leaseExpired(now, &r.options) {
 			out = append(out, view.Load{Seed: view.SeedOf(key), Flows: m.announcement.Flows})
 		}
 	}
