--- a/core/spread/bench_test.go
+++ b/core/spread/bench_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// Sizes of the benchmarks.
+// Size of the fleet in the benchmarks.
 const (
-	benchServices = 19000
-	benchBody     = 700 // bytes of a view of seven backend servers
+	benchServices  = 19000
+	benchBodyBytes = 700 // bytes of a view of seven backend servers
 )
 
 func benchRoot(b *testing.B, services int) *Root {
@@ -28,56 +28,57 @@
 
 func publishBench(b *testing.B, root *Root, service int) {
 	b.Helper()
-	it := Item{Key: fmt.Sprint("view/", service), Version: root.NextVersion(), Body: make([]byte, benchBody)}
+	it := Item{Key: fmt.Sprint("view/", service), Version: root.NextVersion(), Body: make([]byte, benchBodyBytes)}
 	if _, err := root.Publish(it); err != nil {
 		b.Fatal(err)
 	}
 }
 
-// benchLink joins a root and a sink and counts the bytes of the batches.
-type benchLink struct {
+// benchConnection connects a root to a sink and counts the bytes of the batches.
+type benchConnection struct {
 	root  *Root
 	sink  *Sink
 	bytes int
 }
 
-// up delivers messages to the root, and what follows from them, in order.
-func (l *benchLink) up(now time.Duration, out Output) {
+// deliverUpstream delivers messages to the root, and the replies of both sides, in
+// order.
+func (l *benchConnection) deliverUpstream(now time.Duration, out Output) {
 	for queue := out.Messages; len(queue) > 0; queue = queue[1:] {
-		queue = append(queue, l.take(now, l.root.Receive(now, 1, queue[0]))...)
+		queue = append(queue, l.receiveAll(now, l.root.Receive(now, 1, queue[0]))...)
 	}
 }
 
-func (l *benchLink) down(now time.Duration, all []Delivery) {
-	l.up(now, Output{Messages: l.take(now, all)})
+func (l *benchConnection) deliverDownstream(now time.Duration, all []Delivery) {
+	l.deliverUpstream(now, Output{Messages: l.receiveAll(now, all)})
 }
 
-func (l *benchLink) take(now time.Duration, all []Delivery) (answers []UpstreamMessage) {
+func (l *benchConnection) receiveAll(now time.Duration, all []Delivery) (replies []UpstreamMessage) {
 	for _, d := range all {
 		if d.Message.Batch != nil {
 			for _, c := range d.Message.Batch.Changes {
-				l.bytes += c.Item.size()
+				l.bytes += c.Item.encodedSize()
 			}
 		}
-		answers = append(answers, l.sink.Receive(now, d.Message).Messages...)
+		replies = append(replies, l.sink.Receive(now, d.Message).Messages...)
 	}
-	return answers
+	return replies
 }
 
-// BenchmarkChange compares one change that reaches one daemon as a delta with
-// the naive push of the whole state.
+// BenchmarkChange compares sending one change to one daemon as a delta with sending
+// the full state.
 func BenchmarkChange(b *testing.B) {
 	for _, services := range []int{20, 1900, benchServices} {
 		b.Run(fmt.Sprintf("delta/services=%d", services), func(b *testing.B) {
 			root := benchRoot(b, services)
-			l := &benchLink{root: root, sink: NewSink(0, NewStore(StoreOptions{}), SinkOptions{DaemonID: "d"})}
-			l.up(0, l.sink.Connect(0, 1))
+			l := &benchConnection{root: root, sink: NewSink(0, NewStore(StoreOptions{}), SinkOptions{DaemonID: "d"})}
+			l.deliverUpstream(0, l.sink.Connect(0, 1))
 			l.bytes = 0
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
 				publishBench(b, root, i%services)
-				l.down(0, root.Tick(0))
+				l.deliverDownstream(0, root.Tick(0))
 			}
 			b.ReportMetric(float64(l.bytes)/float64(b.N), "B-sent/op")
 		})
@@ -90,7 +91,7 @@
 				publishBench(b, root, i%services)
 				state := map[string]Item{}
 				for _, it := range root.Store().Items() {
-					bytes += it.size()
+					bytes += it.encodedSize()
 					state[it.Key] = it
 				}
 			}
@@ -99,13 +100,13 @@
 	}
 }
 
-// BenchmarkCatchUp measures a daemon that comes back after missed changes.
+// BenchmarkCatchUp measures a daemon that reconnects after missed changes.
 func BenchmarkCatchUp(b *testing.B) {
 	for _, missed := range []int{500, benchServices} {
 		b.Run(fmt.Sprintf("missed=%d", missed), func(b *testing.B) {
 			root := benchRoot(b, benchServices)
-			l := &benchLink{root: root, sink: NewSink(0, NewStore(StoreOptions{}), SinkOptions{DaemonID: "d"})}
-			l.up(0, l.sink.Connect(0, 1))
+			l := &benchConnection{root: root, sink: NewSink(0, NewStore(StoreOptions{}), SinkOptions{DaemonID: "d"})}
+			l.deliverUpstream(0, l.sink.Connect(0, 1))
 			l.bytes = 0
 			session := uint64(1)
 			b.ResetTimer()
@@ -118,7 +119,7 @@
 				root.Tick(0)
 				session++
 				b.StartTimer()
-				l.up(0, l.sink.Connect(0, session))
+				l.deliverUpstream(0, l.sink.Connect(0, session))
 			}
 			b.ReportMetric(float64(l.bytes)/float64(b.N), "B-sent/op")
 		})
@@ -148,8 +149,8 @@
 	}
 }
 
-// BenchmarkMemory reports the bytes held per service by a daemon that keeps no
-// bodies and by a relay.
+// BenchmarkMemory reports the memory per service of a daemon that drops bodies and
+// of a relay.
 func BenchmarkMemory(b *testing.B) {
 	for _, drop := range []bool{true, false} {
 		b.Run(fmt.Sprintf("bodies=%t", !drop), func(b *testing.B) {
@@ -159,9 +160,9 @@
 				runtime.ReadMemStats(&before)
 				store := NewStore(StoreOptions{DropBodies: drop})
 				for i := range benchServices {
-					it := Item{Key: fmt.Sprint("view/", i), Version: Position{Epoch: 1, Number: uint64(i)}, Body: make([]byte, benchBody)}
+					it := Item{Key: fmt.Sprint("view/", i), Version: Position{Epoch: 1, Number: uint64(i)}, Body: make([]byte, benchBodyBytes)}
 					store.put(Change{Number: uint64(i), Item: it})
-					store.adopted([]Item{it})
+					store.dropBodies([]Item{it})
 				}
 				runtime.GC()
 				runtime.ReadMemStats(&after)
--- a/core/spread/example_test.go
+++ b/core/spread/example_test.go
@@ -8,8 +8,8 @@
 	"fulmarmount.org/core/spread"
 )
 
-// One root and one daemon, connected by plain calls. The caller supplies the
-// time; nothing runs on its own.
+// Connects one root to one daemon by function calls. The caller supplies the time;
+// there are no goroutines.
 func Example() {
 	now := time.Second
 	root, err := spread.NewRoot(1, spread.NewStore(spread.StoreOptions{}), spread.SourceOptions{
@@ -42,7 +42,7 @@
 		fmt.Println(err)
 		return
 	}
-	root.RecordConfirmation(now) // A quorum agreed that this root is the only one.
+	root.RecordConfirmation(now) // A quorum has confirmed this root as the only one.
 	pass(take(sink.Connect(now, 1)))
 	for range 5 {
 		now += 250 * time.Millisecond
--- a/core/spread/reconnect.go
+++ b/core/spread/reconnect.go
@@ -11,23 +11,24 @@
 
 // BackoffOptions configures a Backoff.
 type BackoffOptions struct {
-	// InitialRange is the range of the first delay. The longer it is, the slower a
-	// crowd of daemons comes back. Zero means 2 s.
+	// InitialRange is the upper bound of the first delay. A longer range lowers the
+	// rate at which many daemons reconnect after a common failure. Zero means 2 s.
 	InitialRange time.Duration
-	// MaxRange bounds the range of later delays; zero means 1 minute.
+	// MaxRange is the upper bound of all delays. Zero means 1 minute.
 	MaxRange time.Duration
-	// Rand draws the delays. It is required.
+	// Rand is the source of the delays. It is required.
 	Rand *rand.Rand
 }
 
-// Backoff draws the delays between attempts to connect: uniform from zero to a
-// range that doubles with every failure ("full jitter").
+// Backoff computes the delays between connection attempts. Each delay is uniformly
+// distributed between zero and a bound that doubles with every failure ("full
+// jitter").
 type Backoff struct {
 	opts     BackoffOptions
 	failures int
 }
 
-// maxDoublings bounds the growth of the range.
+// maxDoublings bounds the exponent of the backoff.
 const maxDoublings = 20
 
 // NewBackoff returns a Backoff without failures.
@@ -37,24 +38,25 @@
 	return &Backoff{opts: opts}
 }
 
-// Next returns the delay before the next attempt, and at least floor.
+// Next returns the delay before the next attempt: floor plus a random duration.
 func (b *Backoff) Next(floor time.Duration) time.Duration {
 	limit := min(b.opts.InitialRange<<min(b.failures, maxDoublings), b.opts.MaxRange)
 	b.failures++
 	return floor + time.Duration(b.opts.Rand.Int64N(int64(limit)+1))
 }
 
-// Reset makes the next delay short again.
+// Reset resets the backoff after a successful attempt.
 func (b *Backoff) Reset() { b.failures = 0 }
 
-// RelayOrder returns the order in which a daemon tries relays. It spreads
-// daemons evenly, and those of a lost relay over all others.
+// RelayOrder returns the order in which a daemon tries relays. The order is a
+// rendezvous hash: it distributes daemons evenly over the relays, and those of a
+// failed relay evenly over all others.
 func RelayOrder(daemon string, relays []string) []string {
-	own := xxhash.Sum64String(daemon)
+	daemonHash := xxhash.Sum64String(daemon)
 	order := slices.Clone(relays)
 	slices.SortFunc(order, func(a, b string) int {
 		return cmp.Or(
-			cmp.Compare(mix(own, xxhash.Sum64String(b)), mix(own, xxhash.Sum64String(a))),
+			cmp.Compare(mix(daemonHash, xxhash.Sum64String(b)), mix(daemonHash, xxhash.Sum64String(a))),
 			cmp.Compare(a, b),
 		)
 	})
--- a/core/spread/relay.go
+++ b/core/spread/relay.go
@@ -2,62 +2,63 @@
 
 import "time"
 
-// RelayOutput is what a Relay asks of its caller.
+// RelayOutput holds the messages and items that a Relay passes to its caller.
 type RelayOutput struct {
 	Output
-	// Deliveries go to the subscribers.
+	// Deliveries are to be sent to the subscribers.
 	Deliveries []Delivery
 }
 
-// Relay is a Sink whose content is served on. It is not safe for concurrent
+// Relay is a Sink and a Source over the same Store. It is not safe for concurrent
 // use.
 type Relay struct {
 	sink   *Sink
 	source *Source
 }
 
-// NewRelay returns a Relay that holds nothing.
-func NewRelay(now time.Duration, up SinkOptions, down SourceOptions) *Relay {
+// NewRelay returns a Relay over an empty Store.
+func NewRelay(now time.Duration, sinkOpts SinkOptions, sourceOpts SourceOptions) *Relay {
 	store := NewStore(StoreOptions{})
-	up.IsRelay = true
-	return &Relay{sink: NewSink(now, store, up), source: NewSource(store, down)}
+	sinkOpts.IsRelay = true
+	return &Relay{sink: NewSink(now, store, sinkOpts), source: NewSource(store, sourceOpts)}
 }
 
-// Sink returns the side that faces the root.
+// Sink returns the upstream side of the relay.
 func (r *Relay) Sink() *Sink { return r.sink }
 
-// Source returns the side that faces the daemons. Pass its Tick and Receive
-// through the Relay.
+// Source returns the downstream side of the relay. Call Tick and
+// ReceiveFromSubscriber of the Relay instead of Tick and Receive of its Source.
 func (r *Relay) Source() *Source { return r.source }
 
-// Connect opens a session with the Source above.
+// Connect opens a session with the upstream Source.
 func (r *Relay) Connect(now time.Duration, session uint64) RelayOutput {
-	return r.output(r.sink.Connect(now, session))
+	return r.attachSummaries(r.sink.Connect(now, session))
 }
 
-// ReceiveFromSource takes a message of the Source above.
+// ReceiveFromSource processes a message from the upstream Source.
 func (r *Relay) ReceiveFromSource(now time.Duration, m DownstreamMessage) RelayOutput {
-	out := r.output(r.sink.Receive(now, m))
+	out := r.attachSummaries(r.sink.Receive(now, m))
 	out.Deliveries = r.source.Tick(now)
 	return out
 }
 
-// ReceiveFromSubscriber takes a message of a subscriber.
+// ReceiveFromSubscriber processes a message from a subscriber.
 func (r *Relay) ReceiveFromSubscriber(now time.Duration, peer PeerID, m UpstreamMessage) RelayOutput {
 	return RelayOutput{Deliveries: r.source.Receive(now, peer, m)}
 }
 
-// Tick does what is due on both sides.
+// Tick runs the timers of both sides.
 func (r *Relay) Tick(now time.Duration) RelayOutput {
-	out := r.output(r.sink.Tick(now))
+	out := r.attachSummaries(r.sink.Tick(now))
 	out.Deliveries = r.source.Tick(now)
 	return out
 }
 
-// output adds what the subscribers told to the acknowledgements.
-func (r *Relay) output(out Output) RelayOutput {
+// attachSummaries adds the subscribers' progress and newer versions to the
+// acknowledgements. It also passes the latest confirmation on to the Source.
+func (r *Relay) attachSummaries(out Output) RelayOutput {
 	if at, ok := r.sink.AsOf(); ok {
-		r.source.confirm(at)
+		r.source.recordConfirmation(at)
 	}
 	for _, m := range out.Messages {
 		if m.Ack == nil {
--- a/core/spread/repair.go
+++ b/core/spread/repair.go
@@ -1,12 +1,13 @@
 package spread
 
-// maxAhead bounds the items reported as newer than the Source's.
-const maxAhead = 64
+// maxNewerVersions bounds the items that are recorded or reported as newer than
+// the Source's.
+const maxNewerVersions = 64
 
-// bucketsFor returns the digests of the keys that a subscriber sees.
-func (s *Source) bucketsFor(sub *subscriber) *[digestBuckets]uint64 {
+// bucketDigestsFor returns the bucket digests of a subscriber's keys.
+func (s *Source) bucketDigestsFor(sub *subscriber) *[digestBuckets]uint64 {
 	if sub.keys == nil {
-		return &s.store.buckets
+		return &s.store.bucketDigests
 	}
 	var b [digestBuckets]uint64
 	for key := range sub.keys {
@@ -17,39 +18,39 @@
 	return &b
 }
 
-// compare answers with the content of buckets that differ, as many as fit in
-// one chunk.
-func (s *Source) compare(sub *subscriber, m *Compare) []Delivery {
-	if m.Position != s.store.position || !s.store.whole() || len(m.BucketDigests) != digestBuckets {
+// handleCompare returns a Repair of the mismatched buckets, as many as fit in
+// SourceOptions.MaxBatchBytes.
+func (s *Source) handleCompare(sub *subscriber, m *Compare) []Delivery {
+	if m.Position != s.store.position || !s.store.isComplete() || len(m.BucketDigests) != digestBuckets {
 		return nil
 	}
-	own := s.bucketsFor(sub)
-	var differs [digestBuckets]bool
-	for i := range own {
-		differs[i] = own[i] != m.BucketDigests[i]
+	digests := s.bucketDigestsFor(sub)
+	var mismatched [digestBuckets]bool
+	for i := range digests {
+		mismatched[i] = digests[i] != m.BucketDigests[i]
 	}
-	r := s.repair(sub, differs)
+	r := s.buildRepair(sub, mismatched)
 	if len(r.Buckets) == 0 {
 		return nil
 	}
 	return []Delivery{{Peer: sub.peer, Message: DownstreamMessage{Session: sub.session, Repair: r}}}
 }
 
-func (s *Source) repair(sub *subscriber, differs [digestBuckets]bool) *Repair {
+func (s *Source) buildRepair(sub *subscriber, mismatched [digestBuckets]bool) *Repair {
 	var content [digestBuckets][]Change
 	var sizes [digestBuckets]int
 	for e := s.store.oldest; e != nil; e = e.next {
 		i := bucketOf(e.item.Key)
-		if !differs[i] || e.item.Deleted || !sub.wants(e) {
+		if !mismatched[i] || e.item.Deleted || !sub.needs(e) {
 			continue
 		}
 		content[i] = append(content[i], Change{Number: e.number, Item: e.item})
-		sizes[i] += e.item.size()
+		sizes[i] += e.item.encodedSize()
 	}
 	r := &Repair{Position: s.store.position}
 	size := 0
-	for i, differs := range differs {
-		if size += sizes[i]; !differs || size > s.opts.MaxBatchBytes && len(r.Buckets) > 0 {
+	for i, isMismatched := range mismatched {
+		if size += sizes[i]; !isMismatched || size > s.opts.MaxBatchBytes && len(r.Buckets) > 0 {
 			continue
 		}
 		r.Buckets = append(r.Buckets, uint16(i))
@@ -58,44 +59,46 @@
 	return r
 }
 
-// noteAhead remembers items that a subscriber holds at a newer version.
-func (s *Source) noteAhead(items []KeyVersion) {
+// recordNewerVersions records items that a subscriber has at a newer version than
+// the store.
+func (s *Source) recordNewerVersions(items []KeyVersion) {
 	for _, kv := range items {
-		if held, ok := s.store.items[kv.Key]; ok && !kv.Version.Newer(held.item.Version) {
+		if stored, ok := s.store.items[kv.Key]; ok && !kv.Version.Newer(stored.item.Version) {
 			continue
 		}
-		if known, ok := s.ahead[kv.Key]; ok && !kv.Version.Newer(known.Version) || !ok && len(s.ahead) >= maxAhead {
+		if recorded, ok := s.newerVersions[kv.Key]; ok && !kv.Version.Newer(recorded.Version) || !ok && len(s.newerVersions) >= maxNewerVersions {
 			continue
 		}
-		s.ahead[kv.Key] = kv
+		s.newerVersions[kv.Key] = kv
 	}
 }
 
-// TakeNewerVersions returns the items that subscribers hold at a version newer than the
-// store's, which happens after a root was replaced before its last changes
-// spread. The root publishes each anew, or its deletion, at a newer version.
+// TakeNewerVersions returns and clears the recorded items that subscribers have at a
+// newer version than the store. They exist if a root was replaced before its last
+// changes reached the next root. The new root must publish each of these keys, or
+// its deletion, at a still newer version.
 func (s *Source) TakeNewerVersions() []KeyVersion {
 	var all []KeyVersion
-	for key, kv := range s.ahead {
-		if held, ok := s.store.items[key]; !ok || kv.Version.Newer(held.item.Version) {
+	for key, kv := range s.newerVersions {
+		if stored, ok := s.store.items[key]; !ok || kv.Version.Newer(stored.item.Version) {
 			all = append(all, kv)
 		}
 	}
-	clear(s.ahead)
+	clear(s.newerVersions)
 	sortKeyVersions(all)
 	return all
 }
 
-// applyRepair makes the named buckets equal to the Source's, but for items that
-// are newer here, which it returns.
-func (s *Store) applyRepair(r *Repair) (adopted []Item, ahead []KeyVersion) {
+// applyRepair makes the repaired buckets equal to the Source's, except for items
+// that are newer in s. It returns the changed items and the newer versions.
+func (s *Store) applyRepair(r *Repair) (changed []Item, newer []KeyVersion) {
 	inBucket := map[int]bool{}
 	for _, b := range r.Buckets {
 		inBucket[int(b)] = true
 	}
-	sent := make(map[string]bool, len(r.Changes))
+	transferred := make(map[string]bool, len(r.Changes))
 	for _, c := range r.Changes {
-		sent[c.Item.Key] = true
+		transferred[c.Item.Key] = true
 		if !inBucket[bucketOf(c.Item.Key)] {
 			continue
 		}
@@ -103,27 +106,28 @@
 		switch {
 		case !ok || c.Item.Version.Newer(e.item.Version):
 			s.put(c)
-			adopted = append(adopted, c.Item)
+			changed = append(changed, c.Item)
 		case e.item.Version.Newer(c.Item.Version):
-			ahead = append(ahead, KeyVersion{Key: c.Item.Key, Version: e.item.Version})
+			newer = append(newer, KeyVersion{Key: c.Item.Key, Version: e.item.Version})
 		case e.hash != c.Item.hash():
-			s.set(e, c)
-			adopted = append(adopted, c.Item)
+			s.replace(e, c)
+			changed = append(changed, c.Item)
 		}
 	}
-	return append(adopted, s.removeUnsent(inBucket, sent)...), ahead
+	return append(changed, s.removeMissing(inBucket, transferred)...), newer
 }
 
-// removeUnsent removes the live keys of some buckets that the Source lacks.
-func (s *Store) removeUnsent(inBucket map[int]bool, sent map[string]bool) []Item {
-	var gone []Item
+// removeMissing removes the items of the given buckets that are not among the
+// transferred keys, and returns them as deleted items.
+func (s *Store) removeMissing(inBucket map[int]bool, transferred map[string]bool) []Item {
+	var removed []Item
 	for key, e := range s.items {
-		if e.item.Deleted || sent[key] || !inBucket[bucketOf(key)] {
+		if e.item.Deleted || transferred[key] || !inBucket[bucketOf(key)] {
 			continue
 		}
-		gone = append(gone, Item{Key: key, Version: e.item.Version, Deleted: true})
+		removed = append(removed, Item{Key: key, Version: e.item.Version, Deleted: true})
 		s.remove(e)
 	}
-	sortItems(gone)
-	return gone
+	sortItems(removed)
+	return removed
 }
--- a/core/spread/report.go
+++ b/core/spread/report.go
@@ -6,13 +6,14 @@
 	"time"
 )
 
-// Bounds of a Summary and of the daemons remembered after they left.
+// Bounds of the laggards in a RelaySummary and of the disconnected daemons that a
+// Source keeps.
 const (
-	maxLaggards = 32
-	maxDeparted = 1024
+	maxLaggards     = 32
+	maxDisconnected = 1024
 )
 
-// Laggard is a daemon that does not have the newest position in force.
+// Laggard is a daemon that has not applied a position yet.
 type Laggard struct {
 	ID      string   `cbor:"1,keyasint"`
 	Applied Position `cbor:"2,keyasint"`
@@ -20,114 +21,116 @@
 	Disconnected bool `cbor:"3,keyasint,omitempty"`
 }
 
-// RelaySummary tells what is in force at the daemons behind a relay.
+// RelaySummary is the progress of the daemons behind a relay.
 type RelaySummary struct {
-	// Position is the position that Lagging and Laggards refer to.
+	// Position is the position that LaggardCount and Laggards refer to.
 	Position Position `cbor:"1,keyasint"`
-	// Total is the number of daemons, those that departed lately included.
+	// Total is the number of daemons, including recently disconnected ones.
 	Total uint32 `cbor:"2,keyasint"`
-	// LaggardCount is the number of daemons at which Mark is not in force.
+	// LaggardCount is the number of daemons that have not applied Position.
 	LaggardCount uint32 `cbor:"3,keyasint,omitempty"`
-	// Laggards lists those furthest behind, in order.
+	// Laggards lists the laggards that are furthest behind, in that order.
 	Laggards []Laggard `cbor:"4,keyasint,omitempty"`
 }
 
-// Progress tells how far one position is in force.
+// Progress is the number of daemons that have applied one position.
 type Progress struct {
-	// Total is the number of daemons known.
+	// Total is the number of daemons, including recently disconnected ones.
 	Total int
-	// Applied is the number of daemons known to have the position in force.
+	// Applied is the number of daemons that have reported the position as applied.
 	Applied int
-	// Laggards names some of the others, those furthest behind first.
+	// Laggards lists some of the other daemons, those furthest behind first.
 	Laggards []Laggard
 }
 
-// departedDaemon is a daemon whose session ended.
-type departedDaemon struct {
-	id      string
-	inForce Position
-	at      time.Duration
+// disconnectedDaemon is a daemon whose session has ended.
+type disconnectedDaemon struct {
+	id             string
+	applied        Position
+	disconnectedAt time.Duration
 }
 
-func (s *Source) remember(now time.Duration, sub *subscriber) {
-	if sub.relay {
-		return // Its daemons come back through other relays.
+func (s *Source) recordDisconnected(now time.Duration, sub *subscriber) {
+	if sub.isRelay {
+		return // Its daemons reconnect to other relays.
 	}
-	if len(s.departed) >= maxDeparted {
-		s.departed = slices.Delete(s.departed, 0, 1)
+	if len(s.disconnected) >= maxDisconnected {
+		s.disconnected = slices.Delete(s.disconnected, 0, 1)
 	}
-	s.departed = append(s.departed, departedDaemon{id: sub.id, inForce: sub.inForce, at: now})
+	s.disconnected = append(s.disconnected, disconnectedDaemon{id: sub.id, applied: sub.applied, disconnectedAt: now})
 }
 
-// Summary sums up the daemons below at the position that the store holds.
+// Summary returns the progress of the downstream daemons at the complete position
+// of the store.
 func (s *Source) Summary() RelaySummary {
-	p, behind := s.progress(s.store.complete)
+	p, laggards := s.computeProgress(s.store.completePosition)
 	return RelaySummary{
-		Position:     s.store.complete,
+		Position:     s.store.completePosition,
 		Total:        uint32(p.Total),
 		LaggardCount: uint32(p.Total - p.Applied),
-		Laggards:     lowest(behind),
+		Laggards:     furthestBehind(laggards),
 	}
 }
 
-// Progress tells how far a position is in force at the daemons below. InForce
-// may be too low where more daemons lag behind a relay than its Summary names.
+// Progress returns how many downstream daemons have applied a position. The count
+// may be too low if a relay has more laggards than its RelaySummary lists.
 func (s *Source) Progress(at Position) Progress {
-	p, behind := s.progress(at)
-	p.Laggards = lowest(behind)
+	p, laggards := s.computeProgress(at)
+	p.Laggards = furthestBehind(laggards)
 	return p
 }
 
-func (s *Source) progress(at Position) (p Progress, behind []Laggard) {
-	for _, sub := range s.order {
-		if sub.relay {
-			total, lagging, named := sub.summary.behind(at)
+func (s *Source) computeProgress(at Position) (p Progress, laggards []Laggard) {
+	for _, sub := range s.subscribers {
+		if sub.isRelay {
+			total, laggardCount, listed := sub.summary.laggardsAt(at)
 			p.Total += total
-			p.Applied += total - lagging
-			behind = append(behind, named...)
+			p.Applied += total - laggardCount
+			laggards = append(laggards, listed...)
 			continue
 		}
 		p.Total++
-		if at.Newer(sub.inForce) {
-			behind = append(behind, Laggard{ID: sub.id, Applied: sub.inForce})
+		if at.Newer(sub.applied) {
+			laggards = append(laggards, Laggard{ID: sub.id, Applied: sub.applied})
 			continue
 		}
 		p.Applied++
 	}
-	for _, d := range s.departed {
+	for _, d := range s.disconnected {
 		p.Total++
-		if at.Newer(d.inForce) {
-			behind = append(behind, Laggard{ID: d.id, Applied: d.inForce, Disconnected: true})
+		if at.Newer(d.applied) {
+			laggards = append(laggards, Laggard{ID: d.id, Applied: d.applied, Disconnected: true})
 			continue
 		}
 		p.Applied++
 	}
-	return p, behind
+	return p, laggards
 }
 
-// behind returns how many daemons of a relay are not known to have a position
-// in force, and the names that it gave of them.
-func (m *RelaySummary) behind(at Position) (total, lagging int, named []Laggard) {
-	if m == nil {
+// laggardsAt returns the number of daemons of a relay, the number of those that
+// have not reported a position as applied, and the listed ones among the latter.
+func (s *RelaySummary) laggardsAt(at Position) (total, laggardCount int, listed []Laggard) {
+	if s == nil {
 		return 0, 0, nil
 	}
-	for _, l := range m.Laggards {
+	for _, l := range s.Laggards {
 		if at.Newer(l.Applied) {
-			named = append(named, l)
+			listed = append(listed, l)
 		}
 	}
-	total, lagging = int(m.Total), int(m.LaggardCount)
+	total, laggardCount = int(s.Total), int(s.LaggardCount)
 	switch {
-	case at.Newer(m.Position):
-		return total, total, named
-	case len(named) < len(m.Laggards) || len(m.Laggards) == lagging:
-		return total, len(named), named // Every daemon behind was named.
+	case at.Newer(s.Position):
+		return total, total, listed
+	case len(listed) < len(s.Laggards) || len(s.Laggards) == laggardCount:
+		return total, len(listed), listed // Every laggard is listed.
 	}
-	return total, lagging, named
+	return total, laggardCount, listed
 }
 
-// lowest returns the daemons furthest behind, within the bound of a Summary.
-func lowest(all []Laggard) []Laggard {
+// furthestBehind returns the maxLaggards daemons that are furthest behind, in that
+// order.
+func furthestBehind(all []Laggard) []Laggard {
 	slices.SortFunc(all, func(a, b Laggard) int {
 		return cmp.Or(a.Applied.Compare(b.Applied), cmp.Compare(a.ID, b.ID))
 	})
--- a/core/spread/schedule_test.go
+++ b/core/spread/schedule_test.go
@@ -15,72 +15,72 @@
 	firstSeed = flag.Uint64("first-seed", 1, "seed of the first schedule")
 )
 
-// daemon is a subscriber of the fake network: a leaf, a relay or the follower
-// that takes over from the root.
-type daemon struct {
-	name   string
-	sink   *Sink
-	relay  *Relay // nil at a leaf
-	link   *link
-	known  map[string]view.Version // in force in this run or an earlier one
-	uppers []int                   // relays to choose from; empty: the root
+// testDaemon is a subscriber in the simulated network: a leaf, a relay or the
+// standby that replaces the root after a failover.
+type testDaemon struct {
+	name            string
+	sink            *Sink
+	relay           *Relay // nil at a leaf
+	conn            *testConnection
+	appliedVersions map[string]view.Version // newest applied versions, across restarts
+	relayChoices    []int                   // indices of the relays to connect to; empty: the root
 }
 
-// link is one connection. Messages of a closed link are lost.
-type link struct {
-	peer  PeerID
-	lower *daemon
-	upper *daemon // nil: the root
-	up    []UpstreamMessage
-	down  []DownstreamMessage
+// testConnection is one connection. Undelivered messages are lost when it closes.
+type testConnection struct {
+	peer       PeerID
+	subscriber *testDaemon
+	upstream   *testDaemon // nil: the root
+	toSource   []UpstreamMessage
+	toSink     []DownstreamMessage
 }
 
-// network runs root, relays and daemons under a random schedule.
-type network struct {
-	t       *testing.T
-	rand    *rand.Rand
-	now     time.Duration
-	root    *Root
-	relays  []*daemon
-	leaves  []*daemon
-	standby *daemon
-	links   []*link
-	serial  uint64
-	durable []Item // what a quorum has committed, in order
+// testNetwork simulates a root, relays and daemons under a random schedule.
+type testNetwork struct {
+	t           *testing.T
+	rand        *rand.Rand
+	now         time.Duration
+	root        *Root
+	relays      []*testDaemon
+	leaves      []*testDaemon
+	standby     *testDaemon
+	conns       []*testConnection
+	lastSession uint64
+	committed   []Item // items committed by a quorum, in order
 }
 
-func newNetwork(t *testing.T, seed uint64) *network {
-	n := &network{t: t, rand: rand.New(rand.NewPCG(seed, 1))}
-	n.lead(NewStore(StoreOptions{MaxTombstones: 8}), 1)
-	n.standby = &daemon{name: "standby"}
+func newNetwork(t *testing.T, seed uint64) *testNetwork {
+	n := &testNetwork{t: t, rand: rand.New(rand.NewPCG(seed, 1))}
+	n.startRoot(NewStore(StoreOptions{MaxTombstones: 8}), 1)
+	n.standby = &testDaemon{name: "standby"}
 	for i := range 3 {
-		n.relays = append(n.relays, &daemon{name: fmt.Sprint("relay-", i), relay: &Relay{}})
+		n.relays = append(n.relays, &testDaemon{name: fmt.Sprint("relay-", i), relay: &Relay{}})
 	}
 	for i := range 6 {
-		n.leaves = append(n.leaves, &daemon{name: fmt.Sprint("leaf-", i), uppers: []int{0, 1, 2}, known: map[string]view.Version{}})
+		n.leaves = append(n.leaves, &testDaemon{name: fmt.Sprint("leaf-", i), relayChoices: []int{0, 1, 2}, appliedVersions: map[string]view.Version{}})
 	}
-	for _, d := range n.all() {
+	for _, d := range n.daemons() {
 		n.restart(d)
 	}
 	return n
 }
 
-func (n *network) all() []*daemon {
-	return append(append([]*daemon{n.standby}, n.relays...), n.leaves...)
+func (n *testNetwork) daemons() []*testDaemon {
+	return append(append([]*testDaemon{n.standby}, n.relays...), n.leaves...)
 }
 
-func (n *network) options() SourceOptions {
+func (n *testNetwork) options() SourceOptions {
 	return SourceOptions{
 		BatchWindow: 200 * time.Millisecond, MaxBatchBytes: 120, MaxInflightBatches: 2, MaxCatchUps: 2,
 		ResendAfter: time.Second, DisconnectedRetention: 10 * time.Second, Rand: n.rand,
 	}
 }
 
-func (n *network) restart(d *daemon) {
+func (n *testNetwork) restart(d *testDaemon) {
 	opts := SinkOptions{DaemonID: d.name, SourceTimeout: 4 * time.Second}
 	switch {
 	case d.relay != nil:
-		n.cut(func(l *link) bool { return l.upper == d })
+		n.closeConnections(func(l *testConnection) bool { return l.upstream == d })
 		d.relay = NewRelay(n.now, opts, n.options())
 		d.sink = d.relay.Sink()
 	default:
@@ -92,109 +92,109 @@
 	n.connect(d)
 }
 
-// cut closes the links that match.
-func (n *network) cut(match func(*link) bool) {
-	kept := n.links[:0]
-	for _, l := range n.links {
+// closeConnections closes the matching connections.
+func (n *testNetwork) closeConnections(match func(*testConnection) bool) {
+	remaining := n.conns[:0]
+	for _, l := range n.conns {
 		if !match(l) {
-			kept = append(kept, l)
+			remaining = append(remaining, l)
 			continue
 		}
-		l.lower.sink.Disconnect()
-		l.lower.link = nil
-		n.source(l.upper).Disconnect(n.now, l.peer)
+		l.subscriber.sink.Disconnect()
+		l.subscriber.conn = nil
+		n.source(l.upstream).Disconnect(n.now, l.peer)
 	}
-	n.links = kept
+	n.conns = remaining
 }
 
-func (n *network) source(d *daemon) *Source {
+func (n *testNetwork) source(d *testDaemon) *Source {
 	if d == nil {
 		return n.root.Source
 	}
 	return d.relay.Source()
 }
 
-func (n *network) connect(d *daemon) {
-	n.cut(func(l *link) bool { return l.lower == d })
-	n.serial++
-	d.link = &link{peer: PeerID(n.serial), lower: d}
-	if len(d.uppers) > 0 {
-		d.link.upper = n.relays[d.uppers[n.rand.IntN(len(d.uppers))]]
-	}
-	n.links = append(n.links, d.link)
+func (n *testNetwork) connect(d *testDaemon) {
+	n.closeConnections(func(l *testConnection) bool { return l.subscriber == d })
+	n.lastSession++
+	d.conn = &testConnection{peer: PeerID(n.lastSession), subscriber: d}
+	if len(d.relayChoices) > 0 {
+		d.conn.upstream = n.relays[d.relayChoices[n.rand.IntN(len(d.relayChoices))]]
+	}
+	n.conns = append(n.conns, d.conn)
 	if d.relay != nil {
-		n.take(d, d.relay.Connect(n.now, n.serial))
+		n.handleOutput(d, d.relay.Connect(n.now, n.lastSession))
 		return
 	}
-	n.take(d, RelayOutput{Output: d.sink.Connect(n.now, n.serial)})
+	n.handleOutput(d, RelayOutput{Output: d.sink.Connect(n.now, n.lastSession)})
 }
 
-func (n *network) take(d *daemon, out RelayOutput) {
-	if d.link != nil {
-		d.link.up = append(d.link.up, out.Messages...)
+func (n *testNetwork) handleOutput(d *testDaemon, out RelayOutput) {
+	if d.conn != nil {
+		d.conn.toSource = append(d.conn.toSource, out.Messages...)
 	}
 	n.deliver(out.Deliveries)
 	for _, it := range out.Applied {
-		if d.known == nil {
+		if d.appliedVersions == nil {
 			break
 		}
-		old, seen := d.known[it.Key]
-		if fell := old.Newer(it.Version); fell && seen {
-			n.t.Fatalf("%s: %s fell from %v to %v at %v", d.name, it.Key, old, it.Version, n.now)
+		previous, seen := d.appliedVersions[it.Key]
+		if regressed := previous.Newer(it.Version); regressed && seen {
+			n.t.Fatalf("%s: version of %s decreased from %v to %v at %v", d.name, it.Key, previous, it.Version, n.now)
 		}
-		d.known[it.Key] = it.Version
+		d.appliedVersions[it.Key] = it.Version
 	}
 	if out.RetryAfter > 0 {
-		n.cut(func(l *link) bool { return l.lower == d })
+		n.closeConnections(func(l *testConnection) bool { return l.subscriber == d })
 	}
 }
 
-func (n *network) deliver(all []Delivery) {
+func (n *testNetwork) deliver(all []Delivery) {
 	for _, m := range all {
-		for _, l := range n.links {
+		for _, l := range n.conns {
 			if l.peer == m.Peer {
-				l.down = append(l.down, m.Message)
+				l.toSink = append(l.toSink, m.Message)
 			}
 		}
 	}
 }
 
-// pass delivers one message of a link; faults lets it be lost, doubled and
-// overtaken.
-func (n *network) pass(l *link, faults bool) {
-	if len(l.up) > 0 && (len(l.down) == 0 || n.rand.IntN(2) == 0) {
-		m := pick(n, &l.up, faults)
+// deliverOne delivers one message of a connection. With faults, the message may be
+// lost, duplicated or reordered.
+func (n *testNetwork) deliverOne(l *testConnection, faults bool) {
+	if len(l.toSource) > 0 && (len(l.toSink) == 0 || n.rand.IntN(2) == 0) {
+		m := nextMessage(n, &l.toSource, faults)
 		if m == nil {
 			return
 		}
-		if l.upper == nil {
+		if l.upstream == nil {
 			n.deliver(n.root.Receive(n.now, l.peer, *m))
 			return
 		}
-		n.take(l.upper, l.upper.relay.ReceiveFromSubscriber(n.now, l.peer, *m))
+		n.handleOutput(l.upstream, l.upstream.relay.ReceiveFromSubscriber(n.now, l.peer, *m))
 		return
 	}
-	if len(l.down) == 0 {
+	if len(l.toSink) == 0 {
 		return
 	}
-	m := pick(n, &l.down, faults)
+	m := nextMessage(n, &l.toSink, faults)
 	switch {
 	case m == nil:
-	case l.lower.relay != nil:
-		n.take(l.lower, l.lower.relay.ReceiveFromSource(n.now, *m))
+	case l.subscriber.relay != nil:
+		n.handleOutput(l.subscriber, l.subscriber.relay.ReceiveFromSource(n.now, *m))
 	default:
-		n.take(l.lower, RelayOutput{Output: l.lower.sink.Receive(n.now, *m)})
+		n.handleOutput(l.subscriber, RelayOutput{Output: l.subscriber.sink.Receive(n.now, *m)})
 	}
 }
 
-func pick[M any](n *network, queue *[]M, faults bool) *M {
+func nextMessage[M any](n *testNetwork, queue *[]M, faults bool) *M {
 	i := 0
 	if faults {
 		i = n.rand.IntN(min(len(*queue), 4))
 	}
 	m := (*queue)[i]
 	if faults && n.rand.IntN(12) == 0 {
-		return &m // It stays in the queue and arrives again.
+		return &m // It remains in the queue and is delivered again.
 	}
 	*queue = append((*queue)[:i:i], (*queue)[i+1:]...)
 	if faults && n.rand.IntN(12) == 0 {
@@ -203,26 +203,26 @@
 	return &m
 }
 
-func (n *network) tick(step time.Duration) {
+func (n *testNetwork) tick(step time.Duration) {
 	n.now += step
 	n.root.RecordConfirmation(n.now)
 	n.deliver(n.root.Tick(n.now))
 	for _, kv := range n.root.TakeNewerVersions() {
 		n.publish(kv.Key)
 	}
-	for _, d := range n.all() {
-		if d.link == nil || d.sink.SourceTimedOut(n.now) {
+	for _, d := range n.daemons() {
+		if d.conn == nil || d.sink.SourceTimedOut(n.now) {
 			n.connect(d)
 		}
 		if d.relay != nil {
-			n.take(d, d.relay.Tick(n.now))
+			n.handleOutput(d, d.relay.Tick(n.now))
 			continue
 		}
-		n.take(d, RelayOutput{Output: d.sink.Tick(n.now)})
+		n.handleOutput(d, RelayOutput{Output: d.sink.Tick(n.now)})
 	}
 }
 
-func (n *network) publish(key string) {
+func (n *testNetwork) publish(key string) {
 	it := Item{Key: key, Version: n.root.NextVersion(), Body: fmt.Append(nil, n.rand.Uint64())}
 	if n.rand.IntN(5) == 0 {
 		it.Body, it.Deleted = nil, true
@@ -231,19 +231,19 @@
 		n.t.Fatal(err)
 	}
 	if key[0] == 'k' {
-		n.durable = append(n.durable, it)
+		n.committed = append(n.committed, it)
 	}
 }
 
-// lead starts a root over a store and publishes what the quorum has committed
-// and the store lacks.
-func (n *network) lead(store *Store, epoch uint64) {
+// startRoot starts a root over a store and publishes the committed items that the
+// store lacks.
+func (n *testNetwork) startRoot(store *Store, epoch uint64) {
 	root, err := NewRoot(epoch, store, n.options())
 	if err != nil {
 		n.t.Fatal(err)
 	}
 	n.root = root
-	for _, it := range n.durable {
+	for _, it := range n.committed {
 		if held, ok := store.items[it.Key]; !ok || it.Version.Newer(held.item.Version) {
 			if _, err := root.Publish(it); err != nil {
 				n.t.Fatal(err)
@@ -252,20 +252,20 @@
 	}
 }
 
-func (n *network) failOver() {
+func (n *testNetwork) failOver() {
 	store, epoch := n.standby.sink.Store(), n.root.epoch+1
-	n.cut(func(l *link) bool { return l.upper == nil })
+	n.closeConnections(func(l *testConnection) bool { return l.upstream == nil })
 	if n.rand.IntN(4) == 0 {
-		store = NewStore(StoreOptions{}) // Every replica but a new one was lost.
+		store = NewStore(StoreOptions{}) // All replicas except a new one were lost.
 	}
-	n.lead(store, epoch)
+	n.startRoot(store, epoch)
 	n.restart(n.standby)
 }
 
-func (n *network) step() {
+func (n *testNetwork) step() {
 	switch p := n.rand.IntN(1000); {
-	case p < 600 && len(n.links) > 0:
-		n.pass(n.links[n.rand.IntN(len(n.links))], true)
+	case p < 600 && len(n.conns) > 0:
+		n.deliverOne(n.conns[n.rand.IntN(len(n.conns))], true)
 	case p < 800:
 		n.tick(time.Duration(n.rand.IntN(100)) * time.Millisecond)
 	case p < 970:
@@ -275,28 +275,28 @@
 	case p < 986:
 		n.restart(n.relays[n.rand.IntN(len(n.relays))])
 	case p < 996:
-		n.connect(n.all()[n.rand.IntN(len(n.all()))])
+		n.connect(n.daemons()[n.rand.IntN(len(n.daemons()))])
 	default:
 		n.failOver()
 	}
 }
 
-// settle lets everything arrive.
-func (n *network) settle() {
+// deliverAll runs 20 s of simulated time and delivers messages without faults.
+func (n *testNetwork) deliverAll() {
 	for range 400 {
 		n.tick(50 * time.Millisecond)
-		for _, l := range n.links {
+		for _, l := range n.conns {
 			for range 20 {
-				n.pass(l, false)
+				n.deliverOne(l, false)
 			}
 		}
 	}
 }
 
-func (n *network) checkConverged() {
+func (n *testNetwork) checkConverged() {
 	for _, d := range n.leaves {
 		if d.sink.Applied() != n.root.Store().Position() && d.sink.opts.Keys == nil {
-			n.t.Fatalf("%s has %v in force, root is at %v", d.name, d.sink.Applied(), n.root.Store().Position())
+			n.t.Fatalf("%s has applied %v, root is at %v", d.name, d.sink.Applied(), n.root.Store().Position())
 		}
 		for _, it := range n.root.Store().Items() {
 			held, ok := d.sink.Store().items[it.Key]
@@ -308,18 +308,19 @@
 			}
 		}
 		if d.sink.opts.Keys == nil && d.sink.Store().Digest() != n.root.Store().Digest() {
-			n.t.Fatalf("%s has another digest than the root", d.name)
+			n.t.Fatalf("digest of %s differs from the root's", d.name)
 		}
 	}
-	if p := n.root.Progress(n.durablePosition()); p.Applied != p.Total || p.Total != len(n.leaves)+1 {
+	if p := n.root.Progress(n.committedPosition()); p.Applied != p.Total || p.Total != len(n.leaves)+1 {
 		n.t.Fatalf("progress is %+v", p)
 	}
 }
 
-// durablePosition is where the newest durable item was last published.
-func (n *network) durablePosition() Position {
+// committedPosition returns the position at which the newest committed item was
+// last published.
+func (n *testNetwork) committedPosition() Position {
 	p := Position{Epoch: n.root.epoch}
-	for _, it := range n.durable {
+	for _, it := range n.committed {
 		if e, ok := n.root.store.items[it.Key]; ok {
 			p.Number = max(p.Number, e.number)
 		}
@@ -336,7 +337,7 @@
 	return false
 }
 
-func TestSchedules(t *testing.T) {
+func TestRandomSchedulesConverge(t *testing.T) {
 	for i := range *schedules {
 		seed := *firstSeed + uint64(i)
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -344,7 +345,7 @@
 			for range 1500 {
 				n.step()
 			}
-			n.settle()
+			n.deliverAll()
 			n.checkConverged()
 		})
 	}
--- a/core/spread/sink.go
+++ b/core/spread/sink.go
@@ -7,349 +7,356 @@
 
 // SinkOptions configures a Sink.
 type SinkOptions struct {
-	// DaemonID names the daemon.
+	// DaemonID identifies the daemon within the fleet.
 	DaemonID string
-	// Keys restricts what is adopted; empty means every key.
+	// Keys restricts the subscription to these keys. Empty means every key.
 	Keys []string
-	// IsRelay is set where a Source serves the same store.
+	// IsRelay is set if a Source serves the same store.
 	IsRelay bool
-	// ProbeInterval is the interval at which the state is confirmed. Zero means
+	// ProbeInterval is the interval of the probes that confirm the state. Zero means
 	// 2 s.
 	ProbeInterval time.Duration
-	// SyncProbeInterval replaces ProbeEvery until the state was first confirmed. Zero
-	// means 250 ms.
+	// SyncProbeInterval is the longest probe interval until HasSynced. Zero means
+	// 250 ms.
 	SyncProbeInterval time.Duration
-	// SourceTimeout is when a silent Source is given up; zero means 10 s.
+	// SourceTimeout is how long nothing may be received from a Source before
+	// SourceTimedOut reports true. Zero means 10 s.
 	SourceTimeout time.Duration
 }
 
-// Output is what a Sink asks of its caller.
+// Output holds the messages and items that a Sink passes to its caller.
 type Output struct {
-	// Messages go to the Source.
+	// Messages are to be sent to the Source.
 	Messages []UpstreamMessage
-	// Applied is now in force, in this order. Every version is newer than the
-	// one that was in force for its key; only a deletion may repeat it.
+	// Applied lists the items to apply, in this order. The version of an item is
+	// newer than the one applied before for its key. Only a deletion may repeat it.
 	Applied []Item
-	// RetryAfter, if not 0, tells that the Source refused the session: connect
-	// to another one, and not to this before RetryAfter.
+	// RetryAfter, if not 0, reports that the Source refused the session: connect to
+	// another Source, and to this one not before RetryAfter.
 	RetryAfter time.Duration
 }
 
-// Bounds of what a Sink remembers.
+// Bounds of the pending probes and of the confirmed heads of a Sink.
 const (
-	maxProbes = 16
-	maxGoals  = 8
+	maxProbes         = 16
+	maxConfirmedHeads = 8
 )
 
-// firstCheck is the time between the first two probes of a session; it doubles up
-// to SinkOptions.CheckEvery.
-const firstCheck = 50 * time.Millisecond
+// initialSyncProbeInterval is the time between the first two probes of a session
+// before HasSynced. It doubles up to SinkOptions.SyncProbeInterval.
+const initialSyncProbeInterval = 50 * time.Millisecond
 
-// probe is a question about the Source's state.
+// probe is a request for the Source's Status that awaits a response.
 type probe struct {
 	nonce  uint64
 	sentAt time.Duration
 }
 
-// goal is a position that, once held, includes everything published before a
-// time.
-type goal struct {
+// confirmedHead is a position of the Source that includes everything published
+// before asOf.
+type confirmedHead struct {
 	head Position
 	asOf time.Duration
 }
 
-// Sink adopts what one Source after another sends. It is not safe for
-// concurrent use.
+// Sink stores and applies the changes received from a Source, and from another one
+// after a reconnect. It is not safe for concurrent use.
 type Sink struct {
-	opts    SinkOptions
-	store   *Store
-	started time.Duration
-
-	session  uint64
-	open     bool
-	nonce    uint64
-	probes   []probe
-	probedAt time.Duration
-	// checkAfter is the time until the next probe while the state is not confirmed.
-	checkAfter time.Duration
-	heardAt    time.Duration
-
-	transfer uint32   // the whole-state transfer last seen in the session
-	cursor   Position // its progress
-
-	checked bool
-	goals   []goal // not yet reached, oldest first
-	asOf    time.Duration
-	dated   bool // asOf is valid
+	opts      SinkOptions
+	store     *Store
+	startedAt time.Duration
+
+	session       uint64
+	isConnected   bool
+	lastNonce     uint64
+	pendingProbes []probe
+	lastProbeAt   time.Duration
+	// syncProbeDelay is the time until the next probe before HasSynced.
+	syncProbeDelay time.Duration
+	receivedAt     time.Duration
+
+	transferID       uint32   // latest full transfer of the session
+	transferPosition Position // end of the stored part of that transfer
+
+	hasSynced      bool
+	confirmedHeads []confirmedHead // newer than the store, oldest first
+	asOf           time.Duration
+	hasAsOf        bool // whether asOf is valid
 }
 
-// NewSink returns a Sink that fills a store. The time is that of the process's
+// NewSink returns a Sink that writes to a store. The time is that of the process's
 // start or later.
 func NewSink(now time.Duration, store *Store, opts SinkOptions) *Sink {
 	setDefault(&opts.ProbeInterval, 2*time.Second)
 	setDefault(&opts.SyncProbeInterval, 250*time.Millisecond)
 	setDefault(&opts.SourceTimeout, 10*time.Second)
-	return &Sink{opts: opts, store: store, started: now}
+	return &Sink{opts: opts, store: store, startedAt: now}
 }
 
-// Store returns the store that is filled.
+// Store returns the store that the Sink writes to.
 func (s *Sink) Store() *Store { return s.store }
 
-// HasSynced reports whether the state is in force: it was confirmed, after the
-// start, to be no older than the start.
-func (s *Sink) HasSynced() bool { return s.checked }
+// HasSynced reports whether the state was confirmed, after the start of the Sink, to
+// be no older than that start. Nothing is applied before.
+func (s *Sink) HasSynced() bool { return s.hasSynced }
 
-// Applied returns the position of which everything is in force.
+// Applied returns the latest position up to which every change is applied.
 func (s *Sink) Applied() Position {
-	if !s.checked {
+	if !s.hasSynced {
 		return Position{}
 	}
-	return s.store.complete
+	return s.store.completePosition
 }
 
-// AsOf returns a time such that everything published before it is held. ok is
-// false until the state was first confirmed.
-func (s *Sink) AsOf() (at time.Duration, ok bool) { return s.asOf, s.dated }
+// AsOf returns a time such that the store contains everything published before it.
+// ok is false before the first confirmation.
+func (s *Sink) AsOf() (at time.Duration, ok bool) { return s.asOf, s.hasAsOf }
 
-// SourceTimedOut reports whether the Source should be given up for another.
+// SourceTimedOut reports whether nothing was received from the Source for
+// SinkOptions.SourceTimeout. The caller should connect to another one then.
 func (s *Sink) SourceTimedOut(now time.Duration) bool {
-	return s.open && now-s.heardAt >= s.opts.SourceTimeout
+	return s.isConnected && now-s.receivedAt >= s.opts.SourceTimeout
 }
 
 // Connect opens a session with a Source. The session number must not have been
 // used by this daemon before.
 func (s *Sink) Connect(now time.Duration, session uint64) Output {
-	s.session, s.open, s.heardAt = session, true, now
-	s.transfer, s.cursor, s.probes = 0, Position{}, nil
-	s.checkAfter = min(firstCheck, s.opts.SyncProbeInterval)
+	s.session, s.isConnected, s.receivedAt = session, true, now
+	s.transferID, s.transferPosition, s.pendingProbes = 0, Position{}, nil
+	s.syncProbeDelay = min(initialSyncProbeInterval, s.opts.SyncProbeInterval)
 	var out Output
-	out.Messages = append(out.Messages, s.up(UpstreamMessage{Subscribe: &Subscribe{
+	out.Messages = append(out.Messages, s.newMessage(UpstreamMessage{Subscribe: &Subscribe{
 		DaemonID:     s.opts.DaemonID,
 		Position:     s.store.position,
 		Keys:         s.opts.Keys,
 		IsRelay:      s.opts.IsRelay,
-		FullTransfer: s.store.rebuilding,
+		FullTransfer: s.store.isRebuilding,
 	}}))
-	out.Messages = append(out.Messages, s.probe(now))
+	out.Messages = append(out.Messages, s.newProbe(now))
 	return out
 }
 
-// Disconnect tells that the connection was lost. What is in force stays.
-func (s *Sink) Disconnect() { s.open = false }
+// Disconnect ends the session after a lost connection. Applied items stay applied.
+func (s *Sink) Disconnect() { s.isConnected = false }
 
 // Tick sends a probe when one is due.
 func (s *Sink) Tick(now time.Duration) Output {
-	every := s.opts.ProbeInterval
-	if !s.checked {
-		every = s.checkAfter
+	interval := s.opts.ProbeInterval
+	if !s.hasSynced {
+		interval = s.syncProbeDelay
 	}
-	if !s.open || now-s.probedAt < every {
+	if !s.isConnected || now-s.lastProbeAt < interval {
 		return Output{}
 	}
-	s.checkAfter = min(2*s.checkAfter, s.opts.SyncProbeInterval)
-	return Output{Messages: []UpstreamMessage{s.probe(now)}}
+	s.syncProbeDelay = min(2*s.syncProbeDelay, s.opts.SyncProbeInterval)
+	return Output{Messages: []UpstreamMessage{s.newProbe(now)}}
 }
 
-// Receive takes a message of the Source.
+// Receive processes a message from the Source.
 func (s *Sink) Receive(now time.Duration, m DownstreamMessage) Output {
-	if !s.open || m.Session != s.session {
+	if !s.isConnected || m.Session != s.session {
 		return Output{}
 	}
-	s.heardAt = now
+	s.receivedAt = now
 	switch {
 	case m.Batch != nil:
-		return s.batch(m.Batch)
+		return s.handleBatch(m.Batch)
 	case m.Status != nil:
-		return s.status(m.Status)
+		return s.handleStatus(m.Status)
 	case m.Repair != nil:
-		return s.repair(m.Repair)
+		return s.handleRepair(m.Repair)
 	case m.Refusal != nil:
-		s.open = false
+		s.isConnected = false
 		return Output{RetryAfter: m.Refusal.RetryAfter}
 	}
 	return Output{}
 }
 
-// batch adopts a batch that continues what is held, and acknowledges it.
-func (s *Sink) batch(b *Batch) Output {
-	var adopted []Item
+// handleBatch stores and acknowledges a batch that continues the store or the
+// current full transfer.
+func (s *Sink) handleBatch(b *Batch) Output {
+	var changed []Item
 	var ok bool
 	if b.TransferID != 0 {
-		adopted, ok = s.rebuild(b)
+		changed, ok = s.applyTransfer(b)
 	} else {
-		adopted, ok = s.continueWith(b)
+		changed, ok = s.applyDelta(b)
 	}
 	if !ok {
 		return Output{}
 	}
-	out := s.release(adopted)
-	out.Messages = append(out.Messages, s.ack(Ack{Received: b.To, TransferID: b.TransferID}))
+	out := s.applyChanges(changed)
+	out.Messages = append(out.Messages, s.newAck(Ack{Received: b.To, TransferID: b.TransferID}))
 	return out
 }
 
-// continueWith applies a delta. ok is false if something before it is missing.
-func (s *Sink) continueWith(b *Batch) (adopted []Item, ok bool) {
-	if s.store.rebuilding || b.From.Newer(s.store.position) {
+// applyDelta stores a delta. ok is false if the store lacks changes before it.
+func (s *Sink) applyDelta(b *Batch) (changed []Item, ok bool) {
+	if s.store.isRebuilding || b.From.Newer(s.store.position) {
 		return nil, false
 	}
 	if !b.To.Newer(s.store.position) {
 		return nil, true
 	}
-	s.store.enterEpochs(b.Epochs)
+	s.store.mergeEpochs(b.Epochs)
 	for _, c := range b.Changes {
 		if s.store.put(c) {
-			adopted = append(adopted, c.Item)
+			changed = append(changed, c.Item)
 		}
 	}
-	s.store.advance(b.To, b.HasMore)
-	return adopted, true
+	s.store.advancePosition(b.To, b.HasMore)
+	return changed, true
 }
 
-// rebuild applies one batch of a whole-state transfer.
-func (s *Sink) rebuild(b *Batch) (adopted []Item, ok bool) {
-	if b.TransferID < s.transfer || b.TransferID > s.transfer && b.From != (Position{}) {
+// applyTransfer stores one batch of a full transfer. ok is false if the batch does
+// not continue the transfer.
+func (s *Sink) applyTransfer(b *Batch) (changed []Item, ok bool) {
+	if b.TransferID < s.transferID || b.TransferID > s.transferID && b.From != (Position{}) {
 		return nil, false
 	}
-	if b.TransferID > s.transfer {
-		s.transfer, s.cursor = b.TransferID, Position{}
+	if b.TransferID > s.transferID {
+		s.transferID, s.transferPosition = b.TransferID, Position{}
 		s.store.beginRebuild()
 	}
-	if !s.store.rebuilding { // The end was sent again, with later changes.
-		return s.continueWith(b)
+	if !s.store.isRebuilding { // The last batch was sent again, with later changes.
+		return s.applyDelta(b)
 	}
-	if b.From.Newer(s.cursor) {
+	if b.From.Newer(s.transferPosition) {
 		return nil, false
 	}
-	if !b.To.Newer(s.cursor) {
+	if !b.To.Newer(s.transferPosition) {
 		return nil, true
 	}
-	s.cursor = b.To
-	s.store.enterEpochs(b.Epochs)
+	s.transferPosition = b.To
+	s.store.mergeEpochs(b.Epochs)
 	for _, c := range b.Changes {
-		if s.store.rebuild(c) {
-			adopted = append(adopted, c.Item)
+		if s.store.putTransferred(c) {
+			changed = append(changed, c.Item)
 		}
 	}
 	if b.HasMore {
-		return adopted, true
+		return changed, true
 	}
-	adopted = append(adopted, s.store.endRebuild(b.To)...)
-	s.store.advance(b.To, false)
-	return adopted, true
+	changed = append(changed, s.store.finishRebuild(b.To)...)
+	s.store.advancePosition(b.To, false)
+	return changed, true
 }
 
-// status dates the state and finds divergence.
-func (s *Sink) status(st *Status) Output {
-	sent, ok := s.answered(st.Nonce)
+// handleStatus updates the time of the latest confirmation and requests a repair if
+// the digests differ.
+func (s *Sink) handleStatus(st *Status) Output {
+	answered, ok := s.takeProbe(st.Nonce)
 	if !ok {
 		return Output{}
 	}
 	if st.Confirmed {
-		s.aim(goal{head: st.Head, asOf: sent.sentAt - widen(st.ConfirmationAge)})
+		s.addConfirmedHead(confirmedHead{head: st.Head, asOf: answered.sentAt - widenAge(st.ConfirmationAge)})
 	}
-	if !s.store.rebuilding && !st.From.Newer(s.store.position) && st.To.Newer(s.store.position) {
-		s.store.advance(st.To, false)
+	if !s.store.isRebuilding && !st.From.Newer(s.store.position) && st.To.Newer(s.store.position) {
+		s.store.advancePosition(st.To, false)
 	}
-	checked := s.checked
-	out := s.release(nil)
-	if s.checked != checked {
-		out.Messages = append(out.Messages, s.ack(Ack{Received: s.store.position}))
+	hadSynced := s.hasSynced
+	out := s.applyChanges(nil)
+	if s.hasSynced != hadSynced {
+		out.Messages = append(out.Messages, s.newAck(Ack{Received: s.store.position}))
 	}
-	if s.diverged(st) {
-		out.Messages = append(out.Messages, s.up(UpstreamMessage{Compare: &Compare{
+	if s.hasDiverged(st) {
+		out.Messages = append(out.Messages, s.newMessage(UpstreamMessage{Compare: &Compare{
 			Position:      s.store.position,
-			BucketDigests: append([]uint64(nil), s.store.buckets[:]...),
+			BucketDigests: append([]uint64(nil), s.store.bucketDigests[:]...),
 		}}))
 	}
 	return out
 }
 
-func (s *Sink) diverged(st *Status) bool {
-	return st.HasDigest && s.store.whole() && st.To == s.store.position && st.Digest != s.store.Digest()
+func (s *Sink) hasDiverged(st *Status) bool {
+	return st.HasDigest && s.store.isComplete() && st.To == s.store.position && st.Digest != s.store.Digest()
 }
 
-// repair takes the Source's content of buckets that differed.
-func (s *Sink) repair(r *Repair) Output {
-	if r.Position != s.store.position || !s.store.whole() {
+// handleRepair stores the Source's content of mismatched buckets.
+func (s *Sink) handleRepair(r *Repair) Output {
+	if r.Position != s.store.position || !s.store.isComplete() {
 		return Output{}
 	}
-	adopted, ahead := s.store.applyRepair(r)
-	out := s.release(adopted)
-	if len(ahead) > 0 {
-		out.Messages = append(out.Messages, s.ack(Ack{
+	changed, newer := s.store.applyRepair(r)
+	out := s.applyChanges(changed)
+	if len(newer) > 0 {
+		out.Messages = append(out.Messages, s.newAck(Ack{
 			Received:      s.store.position,
-			NewerVersions: ahead[:min(len(ahead), maxAhead)],
+			NewerVersions: newer[:min(len(newer), maxNewerVersions)],
 		}))
 	}
 	return out
 }
 
-// release puts adopted items in force, or withholds them until the state was
+// applyChanges applies changed items, or withholds them until the state is
 // confirmed to be no older than the start.
-func (s *Sink) release(adopted []Item) Output {
-	s.reach()
-	if !s.checked {
-		if !s.dated || s.asOf < s.started || !s.store.whole() {
+func (s *Sink) applyChanges(changed []Item) Output {
+	s.updateAsOf()
+	if !s.hasSynced {
+		if !s.hasAsOf || s.asOf < s.startedAt || !s.store.isComplete() {
 			return Output{}
 		}
-		s.checked = true
-		adopted = s.store.Items()
+		s.hasSynced = true
+		changed = s.store.Items()
 	}
-	s.store.adopted(adopted)
-	return Output{Applied: adopted}
+	s.store.dropBodies(changed)
+	return Output{Applied: changed}
 }
 
-// aim adds a goal. Goals beyond the bound are left out, so that a stream of
-// changes cannot keep moving the only one away.
-func (s *Sink) aim(g goal) {
-	if len(s.goals) < maxGoals {
-		s.goals = append(s.goals, g)
+// addConfirmedHead adds a confirmed head. At the bound it ignores the new head and
+// keeps the old ones: the store reaches those even while a stream of changes moves
+// the Source's head.
+func (s *Sink) addConfirmedHead(h confirmedHead) {
+	if len(s.confirmedHeads) < maxConfirmedHeads {
+		s.confirmedHeads = append(s.confirmedHeads, h)
 	}
 }
 
-// reach dates the state by the goals whose heads are held.
-func (s *Sink) reach() {
-	if s.store.rebuilding {
+// updateAsOf sets asOf to the latest time of the confirmed heads that the store has
+// reached, and removes those heads.
+func (s *Sink) updateAsOf() {
+	if s.store.isRebuilding {
 		return
 	}
-	s.goals = slices.DeleteFunc(s.goals, func(g goal) bool {
-		if g.head.Newer(s.store.complete) {
+	s.confirmedHeads = slices.DeleteFunc(s.confirmedHeads, func(h confirmedHead) bool {
+		if h.head.Newer(s.store.completePosition) {
 			return false
 		}
-		if !s.dated || g.asOf > s.asOf {
-			s.dated, s.asOf = true, g.asOf
+		if !s.hasAsOf || h.asOf > s.asOf {
+			s.hasAsOf, s.asOf = true, h.asOf
 		}
 		return true
 	})
 }
 
-func (s *Sink) up(m UpstreamMessage) UpstreamMessage {
+func (s *Sink) newMessage(m UpstreamMessage) UpstreamMessage {
 	m.Session = s.session
 	return m
 }
 
-func (s *Sink) ack(a Ack) UpstreamMessage {
+func (s *Sink) newAck(a Ack) UpstreamMessage {
 	a.Applied = s.Applied()
-	return s.up(UpstreamMessage{Ack: &a})
+	return s.newMessage(UpstreamMessage{Ack: &a})
 }
 
-func (s *Sink) probe(now time.Duration) UpstreamMessage {
-	s.nonce++
-	s.probedAt = now
-	s.probes = append(s.probes, probe{nonce: s.nonce, sentAt: now})
-	if extra := len(s.probes) - maxProbes; extra > 0 {
-		s.probes = slices.Delete(s.probes, 0, extra)
+func (s *Sink) newProbe(now time.Duration) UpstreamMessage {
+	s.lastNonce++
+	s.lastProbeAt = now
+	s.pendingProbes = append(s.pendingProbes, probe{nonce: s.lastNonce, sentAt: now})
+	if extra := len(s.pendingProbes) - maxProbes; extra > 0 {
+		s.pendingProbes = slices.Delete(s.pendingProbes, 0, extra)
 	}
-	return s.ack(Ack{Received: s.store.position, Nonce: s.nonce})
+	return s.newAck(Ack{Received: s.store.position, Nonce: s.lastNonce})
 }
 
-// answered returns the probe that a status answers, once.
-func (s *Sink) answered(nonce uint64) (p probe, ok bool) {
-	i := slices.IndexFunc(s.probes, func(p probe) bool { return p.nonce == nonce })
+// takeProbe removes and returns the pending probe with a nonce.
+func (s *Sink) takeProbe(nonce uint64) (p probe, ok bool) {
+	i := slices.IndexFunc(s.pendingProbes, func(p probe) bool { return p.nonce == nonce })
 	if i < 0 {
 		return probe{}, false
 	}
-	p = s.probes[i]
-	s.probes = slices.Delete(s.probes, i, i+1)
+	p = s.pendingProbes[i]
+	s.pendingProbes = slices.Delete(s.pendingProbes, i, i+1)
 	return p, true
 }
--- a/core/spread/source.go
+++ b/core/spread/source.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// PeerID names one connection of a Source. The caller assigns it.
+// PeerID identifies a connection of a Source. The caller assigns it.
 type PeerID uint64
 
-// Delivery is a message for one connection. Messages may be shared between
-// deliveries: do not change them.
+// Delivery is a message for one connection. Deliveries may share a message, so
+// callers must not modify it.
 type Delivery struct {
 	Peer    PeerID
 	Message DownstreamMessage
@@ -18,31 +18,31 @@
 
 // SourceOptions configures a Source.
 type SourceOptions struct {
-	// BatchWindow is the least time between two batches of changes. A change that
-	// follows none goes at the next Tick.
+	// BatchWindow is the minimum time between two batches of changes. The first
+	// change after a longer pause is sent at the next Tick.
 	BatchWindow time.Duration
-	// MaxBatchBytes bounds the changes in one batch. Zero means 64 KiB.
+	// MaxBatchBytes bounds the size of the changes in one batch. Zero means 64 KiB.
 	MaxBatchBytes int
-	// MaxInflightBatches bounds the batches sent and not yet acknowledged by a
-	// subscriber. Zero means 4.
+	// MaxInflightBatches bounds the unacknowledged batches of a subscriber. Zero
+	// means 4.
 	MaxInflightBatches int
-	// MaxSubscribers bounds the fan-out; zero means 1,024.
+	// MaxSubscribers bounds the number of sessions. Zero means 1,024.
 	MaxSubscribers int
-	// MaxCatchUps bounds the subscribers that are served more than one batch
-	// at a time; others wait. Zero means 32.
+	// MaxCatchUps bounds the number of subscribers that are behind by more than one
+	// batch and receive batches at the same time. Others wait. Zero means 32.
 	MaxCatchUps int
-	// ResendAfter is when unacknowledged batches are sent again. Zero means
-	// 2 s.
+	// ResendAfter is the time after which unacknowledged batches are sent again.
+	// Zero means 2 s.
 	ResendAfter time.Duration
-	// SubscriberTimeout is when a silent subscriber is dropped; zero means 15 s.
+	// SubscriberTimeout is how long nothing may be received from a subscriber before
+	// it is disconnected. Zero means 15 s.
 	SubscriberTimeout time.Duration
-	// DisconnectedRetention is how long a dropped subscriber is still reported as
-	// lagging; zero means 1 minute.
+	// DisconnectedRetention is how long a disconnected subscriber still counts in
+	// Progress. Zero means 1 minute.
 	DisconnectedRetention time.Duration
-	// RetryAfter is the mean delay asked of refused subscribers. Zero means
-	// 2 s.
+	// RetryAfter is the mean delay in a Refusal. Zero means 2 s.
 	RetryAfter time.Duration
-	// Rand spreads the delays asked of refused subscribers. It is required.
+	// Rand randomizes the delay in a Refusal. It is required.
 	Rand *rand.Rand
 }
 
@@ -70,49 +70,49 @@
 	opts  SourceOptions
 	store *Store
 
-	peers map[PeerID]*subscriber
-	byID  map[string]*subscriber
-	order []*subscriber // by arrival, so that runs can be reproduced
-	byKey map[string][]*subscriber
+	subscribersByPeer map[PeerID]*subscriber
+	subscribersByID   map[string]*subscriber
+	subscribers       []*subscriber // in order of arrival, for reproducible runs
+	subscribersByKey  map[string][]*subscriber
 
-	flushed   Position // the store's position at the last flush
-	flushedAt time.Duration
-	hasFlush  bool
-	rebuilds  uint64
-	catchUps  int
-	shared    *Batch // the last one cut for subscribers of every key
+	flushedPosition Position // position of the store at the latest flush
+	flushedAt       time.Duration
+	hasFlushed      bool
+	flushedRebuilds uint64
+	catchUpCount    int
+	sharedBatch     *Batch // latest batch for subscribers of every key
 
-	confirmed   bool
-	confirmedAt time.Duration
-	departed    []departedDaemon
-	ahead       map[string]KeyVersion
+	isConfirmed   bool
+	confirmedAt   time.Duration
+	disconnected  []disconnectedDaemon
+	newerVersions map[string]KeyVersion
 }
 
 // NewSource returns a Source without subscribers.
 func NewSource(store *Store, opts SourceOptions) *Source {
 	opts.setDefaults()
 	return &Source{
-		opts:  opts,
-		store: store,
-		peers: map[PeerID]*subscriber{},
-		byID:  map[string]*subscriber{},
-		byKey: map[string][]*subscriber{},
-		ahead: map[string]KeyVersion{},
+		opts:              opts,
+		store:             store,
+		subscribersByPeer: map[PeerID]*subscriber{},
+		subscribersByID:   map[string]*subscriber{},
+		subscribersByKey:  map[string][]*subscriber{},
+		newerVersions:     map[string]KeyVersion{},
 	}
 }
 
-// Store returns the store that is served.
+// Store returns the store that the Source serves.
 func (s *Source) Store() *Store { return s.store }
 
-// SubscriberCount returns the number of open sessions.
-func (s *Source) SubscriberCount() int { return len(s.order) }
+// SubscriberCount returns the number of sessions.
+func (s *Source) SubscriberCount() int { return len(s.subscribers) }
 
-// Receive takes a message of a subscriber.
+// Receive processes a message from a subscriber.
 func (s *Source) Receive(now time.Duration, peer PeerID, m UpstreamMessage) []Delivery {
 	if m.Subscribe != nil {
-		return s.subscribe(now, peer, m.Session, m.Subscribe)
+		return s.handleSubscribe(now, peer, m.Session, m.Subscribe)
 	}
-	sub, ok := s.peers[peer]
+	sub, ok := s.subscribersByPeer[peer]
 	if !ok {
 		return nil
 	}
@@ -120,61 +120,62 @@
 	case m.Session != sub.session:
 		return nil
 	case m.Ack != nil:
-		return s.acknowledge(now, sub, m.Ack)
+		return s.handleAck(now, sub, m.Ack)
 	case m.Compare != nil:
-		return s.compare(sub, m.Compare)
+		return s.handleCompare(sub, m.Compare)
 	}
 	return nil
 }
 
-// Tick cuts a batch if the window has passed, repeats what was not
-// acknowledged and drops silent subscribers. Call it at least once per
-// BatchWindow, and where Due reports true.
+// Tick sends a batch if one is due, sends unacknowledged batches again and
+// disconnects subscribers that have timed out. Call it at least once per
+// SourceOptions.BatchWindow, and when BatchDue reports true.
 func (s *Source) Tick(now time.Duration) []Delivery {
-	s.dropSilent(now)
+	s.disconnectTimedOut(now)
 	var out []Delivery
 	if s.BatchDue(now) {
-		s.markChanged(now)
+		s.markPending(now)
 	}
-	for _, sub := range s.order {
-		sub.rewind(now, s.opts.ResendAfter)
-		out = s.serve(now, sub, out)
+	for _, sub := range s.subscribers {
+		sub.rewindIfUnacked(now, s.opts.ResendAfter)
+		out = s.sendBatches(now, sub, out)
 	}
 	return out
 }
 
-// BatchDue reports whether changes wait and the window after the last ones has passed.
+// BatchDue reports whether there are unsent changes and the batch window after the
+// previous batch has ended.
 func (s *Source) BatchDue(now time.Duration) bool {
-	if s.flushed == s.store.position || !s.store.whole() {
+	if s.flushedPosition == s.store.position || !s.store.isComplete() {
 		return false
 	}
-	return !s.hasFlush || now-s.flushedAt >= s.opts.BatchWindow
+	return !s.hasFlushed || now-s.flushedAt >= s.opts.BatchWindow
 }
 
-// markChanged marks the subscribers for which something changed since the last
-// flush.
-func (s *Source) markChanged(now time.Duration) {
-	from, rebuilds := s.flushed, s.rebuilds
-	s.flushed, s.rebuilds = s.store.position, s.store.rebuilds
-	s.hasFlush, s.flushedAt = true, now
-	every := from.Epoch != s.flushed.Epoch || rebuilds != s.rebuilds
-	for e := s.store.after(from.Number); e != nil && !every; e = e.next {
-		for _, sub := range s.byKey[e.item.Key] {
-			sub.due = true
+// markPending marks the subscribers with changes since the previous flush.
+func (s *Source) markPending(now time.Duration) {
+	from, rebuilds := s.flushedPosition, s.flushedRebuilds
+	s.flushedPosition, s.flushedRebuilds = s.store.position, s.store.rebuildCount
+	s.hasFlushed, s.flushedAt = true, now
+	allPending := from.Epoch != s.flushedPosition.Epoch || rebuilds != s.flushedRebuilds
+	for e := s.store.firstAfter(from.Number); e != nil && !allPending; e = e.next {
+		for _, sub := range s.subscribersByKey[e.item.Key] {
+			sub.isPending = true
 		}
 	}
-	for _, sub := range s.order {
-		sub.due = sub.due || every || sub.keys == nil
-		if !sub.due && sub.resolved {
-			sub.scanned = s.flushed.Number
+	for _, sub := range s.subscribers {
+		sub.isPending = sub.isPending || allPending || sub.keys == nil
+		if !sub.isPending && sub.isResolved {
+			sub.scannedNumber = s.flushedPosition.Number
 		}
 	}
 }
 
-// serve sends what is due to a subscriber, as far as its window allows.
-func (s *Source) serve(now time.Duration, sub *subscriber, out []Delivery) []Delivery {
-	for sub.due && len(sub.inflight) < s.opts.MaxInflightBatches && s.store.whole() && s.resolve(sub) {
-		batch := s.next(sub)
+// sendBatches appends the pending batches of a subscriber to out, up to
+// SourceOptions.MaxInflightBatches.
+func (s *Source) sendBatches(now time.Duration, sub *subscriber, out []Delivery) []Delivery {
+	for sub.isPending && len(sub.inflight) < s.opts.MaxInflightBatches && s.store.isComplete() && s.resolvePosition(sub) {
+		batch := s.nextBatch(sub)
 		if batch == nil {
 			return out
 		}
@@ -184,70 +185,71 @@
 	return out
 }
 
-// next cuts the next batch for a subscriber. It returns nil if nothing is due
-// or if the subscriber must wait for its turn to catch up.
-func (s *Source) next(sub *subscriber) *Batch {
-	batch := s.cut(sub)
+// nextBatch returns the next batch for a subscriber. It returns nil if the batch is
+// redundant or if the subscriber must wait because of SourceOptions.MaxCatchUps.
+func (s *Source) nextBatch(sub *subscriber) *Batch {
+	batch := s.buildBatch(sub)
 	if batch.HasMore && !s.beginCatchUp(sub) {
 		return nil
 	}
-	sub.scanned = batch.To.Number
+	sub.scannedNumber = batch.To.Number
 	if !batch.HasMore {
 		s.endCatchUp(sub)
-		sub.due = false
+		sub.isPending = false
 	}
-	if batch.idle(sub.keys != nil) {
+	if batch.isRedundant(sub.keys != nil) {
 		return nil
 	}
-	sub.inflight = append(sub.inflight, sending{from: batch.From, to: batch.To, transfer: batch.TransferID, more: batch.HasMore})
-	sub.sent = batch.To
+	sub.inflight = append(sub.inflight, inflightBatch{from: batch.From, to: batch.To, transferID: batch.TransferID, hasMore: batch.HasMore})
+	sub.sentPosition = batch.To
 	if !batch.HasMore {
-		sub.transfer = 0
+		sub.transferID = 0
 	}
 	return batch
 }
 
-// idle reports whether a subscriber learns nothing from b.
-func (b *Batch) idle(restricted bool) bool {
+// isRedundant reports whether b changes neither the items nor the position of a
+// subscriber. The number of a position does not matter to one with a key filter.
+func (b *Batch) isRedundant(hasKeyFilter bool) bool {
 	if len(b.Changes) > 0 || b.TransferID != 0 {
 		return false
 	}
-	return b.From == b.To || restricted && b.From.Epoch == b.To.Epoch
+	return b.From == b.To || hasKeyFilter && b.From.Epoch == b.To.Epoch
 }
 
 func (s *Source) beginCatchUp(sub *subscriber) bool {
-	if sub.catchingUp {
+	if sub.isCatchingUp {
 		return true
 	}
-	if s.catchUps >= s.opts.MaxCatchUps {
+	if s.catchUpCount >= s.opts.MaxCatchUps {
 		return false
 	}
-	sub.catchingUp = true
-	s.catchUps++
+	sub.isCatchingUp = true
+	s.catchUpCount++
 	return true
 }
 
 func (s *Source) endCatchUp(sub *subscriber) {
-	if sub.catchingUp {
-		sub.catchingUp = false
-		s.catchUps--
+	if sub.isCatchingUp {
+		sub.isCatchingUp = false
+		s.catchUpCount--
 	}
 }
 
-// cut builds the batch that follows what a subscriber was sent. Subscribers of
-// every key are mostly at the same position and share it.
-func (s *Source) cut(sub *subscriber) *Batch {
-	shareable := sub.keys == nil && sub.transfer == 0 && sub.skipDeleted <= sub.scanned
-	if b := s.shared; shareable && b != nil && b.From == sub.sent && b.To == s.store.position {
+// buildBatch builds the batch that follows the subscriber's sent position.
+// Subscribers of every key are mostly at the same position and share the batch.
+func (s *Source) buildBatch(sub *subscriber) *Batch {
+	isShareable := sub.keys == nil && sub.transferID == 0 && sub.skipDeletedUpTo <= sub.scannedNumber
+	if b := s.sharedBatch; isShareable && b != nil && b.From == sub.sentPosition && b.To == s.store.position {
 		return b
 	}
-	b := &Batch{From: sub.sent, To: s.store.position, TransferID: sub.transfer}
+	b := &Batch{From: sub.sentPosition, To: s.store.position, TransferID: sub.transferID}
 	size := 0
-	for e := s.store.after(sub.scanned); e != nil; e = e.next {
-		if !sub.wants(e) {
+	for e := s.store.firstAfter(sub.scannedNumber); e != nil; e = e.next {
+		if !sub.needs(e) {
 			continue
 		}
-		if size += e.item.size(); size > s.opts.MaxBatchBytes && len(b.Changes) > 0 {
+		if size += e.item.encodedSize(); size > s.opts.MaxBatchBytes && len(b.Changes) > 0 {
 			b.HasMore = true
 			b.To.Number = b.Changes[len(b.Changes)-1].Number
 			break
@@ -257,15 +259,16 @@
 	if b.From.Epoch != b.To.Epoch {
 		b.Epochs = slices.Clone(s.store.epochs)
 	}
-	if shareable && !b.HasMore {
-		s.shared = b
+	if isShareable && !b.HasMore {
+		s.sharedBatch = b
 	}
 	return b
 }
 
-// confirm records that everything published before a given time is held.
-func (s *Source) confirm(at time.Duration) {
-	if !s.confirmed || at > s.confirmedAt {
-		s.confirmed, s.confirmedAt = true, at
+// recordConfirmation records that the store contains everything published before a
+// time.
+func (s *Source) recordConfirmation(at time.Duration) {
+	if !s.isConfirmed || at > s.confirmedAt {
+		s.isConfirmed, s.confirmedAt = true, at
 	}
 }
--- a/core/spread/store.go
+++ b/core/spread/store.go
@@ -7,49 +7,51 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Bounds of what a Store remembers besides the items themselves.
+// Bounds of the metadata in a Store, and the number of digest buckets.
 const (
 	maxEpochs            = 32
 	defaultMaxTombstones = 4096
 	digestBuckets        = 256
 )
 
-// entry is one key. Linked entries are ordered by number.
+// entry is the item of one key. Linked entries are ordered by number.
 type entry struct {
 	item       Item
 	number     uint64
 	hash       uint64
 	prev, next *entry
-	linked     bool
+	isLinked   bool
 }
 
 // StoreOptions configures a Store.
 type StoreOptions struct {
-	// MaxTombstones bounds the deleted keys remembered. Subscribers that missed
-	// an older deletion get the whole state. Zero means 4,096.
+	// MaxTombstones bounds the deleted keys in the store. Subscribers that missed a
+	// pruned deletion get a full transfer. Zero means 4,096.
 	MaxTombstones int
-	// DropBodies forgets a body once it was adopted, for daemons that keep the
-	// decoded form and serve nobody.
+	// DropBodies releases the body of an item once the item is applied, for daemons
+	// that keep the decoded form and serve no subscribers.
 	DropBodies bool
 }
 
-// Store holds the items of one process, ordered by their latest change.
+// Store contains the items of one process, ordered by their latest change.
 type Store struct {
 	opts           StoreOptions
 	items          map[string]*entry
 	oldest, newest *entry
-	tombstones     int
-	buckets        [digestBuckets]uint64
+	tombstoneCount int
+	bucketDigests  [digestBuckets]uint64
 	epochs         []EpochStart
-	// position is where to continue; complete is the last position of which
-	// nothing was missing.
-	position, complete Position
-	// floor is the number of the newest deletion that was forgotten.
-	floor uint64
-	// rebuilding is set from the first to the last batch of a whole-state
-	// transfer; rebuilds counts the finished ones.
-	rebuilding bool
-	rebuilds   uint64
+	// position is the position to continue from. completePosition is the latest
+	// position at which no change was missing.
+	position, completePosition Position
+	// minDeltaNumber is the lowest number from which a delta is complete. Deletions
+	// up to that number may be missing: they were pruned, or a full transfer did not
+	// contain them.
+	minDeltaNumber uint64
+	// isRebuilding is set from the first to the last batch of a full transfer.
+	// rebuildCount is the number of completed or aborted ones.
+	isRebuilding bool
+	rebuildCount uint64
 }
 
 // NewStore returns an empty Store.
@@ -60,14 +62,13 @@
 	return &Store{opts: opts, items: map[string]*entry{}}
 }
 
-// Position returns the last position of which everything is held.
-func (s *Store) Position() Position { return s.complete }
+// Position returns the latest position at which no change is missing.
+func (s *Store) Position() Position { return s.completePosition }
 
-// Len returns the number of keys that exist.
-func (s *Store) Len() int { return len(s.items) - s.tombstones }
+// Len returns the number of keys that are not deleted.
+func (s *Store) Len() int { return len(s.items) - s.tombstoneCount }
 
-// Get returns the item of a key. ok is false if the key never existed, was
-// deleted, or was forgotten.
+// Get returns the item of a key. ok is false if there is none or it is deleted.
 func (s *Store) Get(key string) (it Item, ok bool) {
 	e, ok := s.items[key]
 	if !ok || e.item.Deleted {
@@ -76,7 +77,7 @@
 	return e.item, true
 }
 
-// Items returns every item that exists, in the order of their latest change.
+// Items returns the items that are not deleted, in the order of their latest change.
 func (s *Store) Items() []Item {
 	all := make([]Item, 0, s.Len())
 	for e := s.oldest; e != nil; e = e.next {
@@ -87,8 +88,9 @@
 	return all
 }
 
-// Digest covers every item that exists: key, version and body.
-func (s *Store) Digest() uint64 { return digest(&s.buckets) }
+// Digest returns a digest of the key, version and body of every item that is not
+// deleted.
+func (s *Store) Digest() uint64 { return digest(&s.bucketDigests) }
 
 func digest(buckets *[digestBuckets]uint64) uint64 {
 	var d uint64
@@ -98,10 +100,11 @@
 	return d
 }
 
-// whole reports whether nothing is missing at the position.
-func (s *Store) whole() bool { return s.position == s.complete && !s.rebuilding }
+// isComplete reports whether no change is missing at the position.
+func (s *Store) isComplete() bool { return s.position == s.completePosition && !s.isRebuilding }
 
-// put adopts a change if its version is newer than the one held.
+// put stores a change if its version is newer than the stored one. It reports
+// whether the change was stored.
 func (s *Store) put(c Change) bool {
 	e, ok := s.items[c.Item.Key]
 	if ok && !c.Item.Version.Newer(e.item.Version) {
@@ -111,22 +114,22 @@
 		e = &entry{}
 		s.items[c.Item.Key] = e
 	}
-	s.set(e, c)
+	s.replace(e, c)
 	return true
 }
 
-// set replaces the content of e and moves it to the place of its number.
-func (s *Store) set(e *entry, c Change) {
+// replace replaces the item of e and moves e to the position of its new number.
+func (s *Store) replace(e *entry, c Change) {
 	s.unlink(e)
-	s.uncount(e)
+	s.removeFromDigest(e)
 	e.item, e.number, e.hash = c.Item, c.Number, c.Item.hash()
-	s.count(e)
+	s.addToDigest(e)
 	s.link(e)
-	s.prune()
+	s.pruneTombstones()
 }
 
-// adopted forgets the bodies of items that their user has taken.
-func (s *Store) adopted(items []Item) {
+// dropBodies releases the bodies of applied items if StoreOptions.DropBodies is set.
+func (s *Store) dropBodies(items []Item) {
 	if !s.opts.DropBodies {
 		return
 	}
@@ -137,35 +140,35 @@
 	}
 }
 
-func (s *Store) count(e *entry) {
+func (s *Store) addToDigest(e *entry) {
 	if e.item.Deleted {
-		s.tombstones++
+		s.tombstoneCount++
 		return
 	}
-	s.buckets[bucketOf(e.item.Key)] += e.hash
+	s.bucketDigests[bucketOf(e.item.Key)] += e.hash
 }
 
-func (s *Store) uncount(e *entry) {
+func (s *Store) removeFromDigest(e *entry) {
 	switch {
-	case e.item.Key == "": // A new entry was not counted.
+	case e.item.Key == "": // A new entry is not in the digest yet.
 	case e.item.Deleted:
-		s.tombstones--
+		s.tombstoneCount--
 	default:
-		s.buckets[bucketOf(e.item.Key)] -= e.hash
+		s.bucketDigests[bucketOf(e.item.Key)] -= e.hash
 	}
 }
 
-// link inserts e behind the last entry whose number is not greater.
+// link inserts e after the last entry whose number is not greater.
 func (s *Store) link(e *entry) {
-	after := s.newest
-	for after != nil && after.number > e.number {
-		after = after.prev
+	predecessor := s.newest
+	for predecessor != nil && predecessor.number > e.number {
+		predecessor = predecessor.prev
 	}
-	e.prev, e.linked = after, true
-	if after == nil {
+	e.prev, e.isLinked = predecessor, true
+	if predecessor == nil {
 		e.next, s.oldest = s.oldest, e
 	} else {
-		e.next, after.next = after.next, e
+		e.next, predecessor.next = predecessor.next, e
 	}
 	if e.next == nil {
 		s.newest = e
@@ -175,7 +178,7 @@
 }
 
 func (s *Store) unlink(e *entry) {
-	if !e.linked {
+	if !e.isLinked {
 		return
 	}
 	if e.prev == nil {
@@ -188,34 +191,35 @@
 	} else {
 		e.next.prev = e.prev
 	}
-	e.prev, e.next, e.linked = nil, nil, false
+	e.prev, e.next, e.isLinked = nil, nil, false
 }
 
-// remove forgets a key without a trace.
+// remove removes a key without a tombstone.
 func (s *Store) remove(e *entry) {
 	s.unlink(e)
-	s.uncount(e)
+	s.removeFromDigest(e)
 	delete(s.items, e.item.Key)
 }
 
-// prune forgets the oldest deletions beyond the bound.
-func (s *Store) prune() {
-	if s.tombstones <= s.opts.MaxTombstones {
+// pruneTombstones removes the oldest tombstones if there are more than
+// StoreOptions.MaxTombstones, until three quarters of that number remain.
+func (s *Store) pruneTombstones() {
+	if s.tombstoneCount <= s.opts.MaxTombstones {
 		return
 	}
-	for e := s.oldest; e != nil && s.tombstones > s.opts.MaxTombstones*3/4; {
+	for e := s.oldest; e != nil && s.tombstoneCount > s.opts.MaxTombstones*3/4; {
 		next := e.next
 		if e.item.Deleted {
-			s.floor = max(s.floor, e.number)
+			s.minDeltaNumber = max(s.minDeltaNumber, e.number)
 			s.remove(e)
 		}
 		e = next
 	}
 }
 
-// after returns the first entry whose number is greater than n, searching from
-// the nearer end.
-func (s *Store) after(n uint64) *entry {
+// firstAfter returns the first entry whose number is greater than n. It searches
+// from the nearer end of the order.
+func (s *Store) firstAfter(n uint64) *entry {
 	if s.newest == nil || s.newest.number <= n {
 		return nil
 	}
@@ -233,25 +237,26 @@
 	return e
 }
 
-// advance moves the position; it never falls.
-func (s *Store) advance(to Position, more bool) {
+// advancePosition sets the position unless the current one is newer. It also sets
+// the complete position unless hasMore is set.
+func (s *Store) advancePosition(to Position, hasMore bool) {
 	if to.Newer(s.position) {
 		s.position = to
 	}
-	if !more && s.position.Newer(s.complete) {
-		s.complete = s.position
+	if !hasMore && s.position.Newer(s.completePosition) {
+		s.completePosition = s.position
 	}
 }
 
-// enterEpochs merges the latest epochs. What was numbered beyond the start of a
-// new epoch counts as changed at its start.
-func (s *Store) enterEpochs(starts []EpochStart) {
+// mergeEpochs adds epochs that are newer than the stored ones. Entries with numbers
+// beyond the start of a new epoch get the start as their number.
+func (s *Store) mergeEpochs(starts []EpochStart) {
 	for _, start := range starts {
 		if n := len(s.epochs); n > 0 && start.Epoch <= s.epochs[n-1].Epoch {
 			continue
 		}
 		s.epochs = append(s.epochs, start)
-		for e := s.newest; e != nil && e.number > start.Start && !s.rebuilding; e = e.prev {
+		for e := s.newest; e != nil && e.number > start.Start && !s.isRebuilding; e = e.prev {
 			e.number = start.Start
 		}
 	}
@@ -260,9 +265,10 @@
 	}
 }
 
-// ancestor returns the last number of p that belongs to the store's own
-// sequence. ok is false if that is not known.
-func (s *Store) ancestor(p Position) (n uint64, ok bool) {
+// lastCommonNumber returns the last number up to which the sequence of p equals the
+// store's own. ok is false if the epoch of p is unknown or a delta from that number
+// would be incomplete.
+func (s *Store) lastCommonNumber(p Position) (n uint64, ok bool) {
 	i := slices.IndexFunc(s.epochs, func(e EpochStart) bool { return e.Epoch == p.Epoch })
 	if i < 0 {
 		return 0, false
@@ -271,41 +277,41 @@
 	for _, later := range s.epochs[i+1:] {
 		n = min(n, later.Start)
 	}
-	return n, n >= s.floor
+	return n, n >= s.minDeltaNumber
 }
 
-// beginRebuild takes every entry out of the order, for a whole-state transfer.
+// beginRebuild unlinks every entry at the start of a full transfer.
 func (s *Store) beginRebuild() {
 	for e := s.oldest; e != nil; {
 		next := e.next
-		e.prev, e.next, e.linked = nil, nil, false
+		e.prev, e.next, e.isLinked = nil, nil, false
 		e = next
 	}
 	s.oldest, s.newest = nil, nil
-	s.rebuilding = true
+	s.isRebuilding = true
 }
 
-// relink puts every entry back in order, after a transfer that was cut. The
-// order may lack changes, so subscribers must take the whole state.
-func (s *Store) relink() {
+// abortRebuild links every entry again after an interrupted full transfer. The order
+// may lack changes, so subscribers need a full transfer.
+func (s *Store) abortRebuild() {
 	s.oldest, s.newest = nil, nil
 	all := make([]*entry, 0, len(s.items))
 	for _, e := range s.items {
-		e.prev, e.next, e.linked = nil, nil, false
+		e.prev, e.next, e.isLinked = nil, nil, false
 		all = append(all, e)
 	}
 	slices.SortFunc(all, func(a, b *entry) int { return cmp.Compare(a.number, b.number) })
 	for _, e := range all {
 		s.link(e)
 	}
-	s.floor = s.position.Number + 1
-	s.rebuilding = false
-	s.rebuilds++
+	s.minDeltaNumber = s.position.Number + 1
+	s.isRebuilding = false
+	s.rebuildCount++
 }
 
-// rebuild places a change of a whole-state transfer. It returns true if the
-// item was adopted.
-func (s *Store) rebuild(c Change) bool {
+// putTransferred links the entry of a change of a full transfer. It reports whether
+// the change was stored.
+func (s *Store) putTransferred(c Change) bool {
 	e, ok := s.items[c.Item.Key]
 	if !ok || c.Item.Version.Newer(e.item.Version) {
 		return s.put(c)
@@ -316,25 +322,25 @@
 	return false
 }
 
-// endRebuild removes the keys that the transfer did not contain and returns
-// them as deleted items.
-func (s *Store) endRebuild(to Position) []Item {
-	var gone []Item
+// finishRebuild ends a full transfer. It removes the keys that the transfer did not
+// contain and returns the live ones among them as deleted items.
+func (s *Store) finishRebuild(to Position) []Item {
+	var removed []Item
 	for _, e := range s.items {
-		if e.linked {
+		if e.isLinked {
 			continue
 		}
 		if !e.item.Deleted {
-			gone = append(gone, Item{Key: e.item.Key, Version: e.item.Version, Deleted: true})
+			removed = append(removed, Item{Key: e.item.Key, Version: e.item.Version, Deleted: true})
 		}
 		s.remove(e)
 	}
-	sortItems(gone)
-	s.floor = to.Number
-	s.rebuilding = false
-	s.rebuilds++
-	return gone
+	sortItems(removed)
+	s.minDeltaNumber = to.Number
+	s.isRebuilding = false
+	s.rebuildCount++
+	return removed
 }
 
-// bucketOf assigns a key to a digest bucket.
+// bucketOf returns the index of the digest bucket of a key.
 func bucketOf(key string) int { return int(xxhash.Sum64String(key) % digestBuckets) }
--- a/core/spread/subscriber.go
+++ b/core/spread/subscriber.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// sending is a batch that was sent and not acknowledged.
-type sending struct {
-	from, to Position
-	transfer uint32
-	more     bool
+// inflightBatch is a batch that was sent and not yet acknowledged.
+type inflightBatch struct {
+	from, to   Position
+	transferID uint32
+	hasMore    bool
 }
 
 // subscriber is one session of a Source.
@@ -17,35 +17,36 @@
 	peer    PeerID
 	id      string
 	session uint64
-	relay   bool
+	isRelay bool
 	keys    map[string]struct{} // nil: every key
 
-	// start is the last position that the subscriber holds for certain; rebuild
-	// is set while it cannot continue from there.
-	start    Position
-	rebuild  bool
-	resolved bool
-	// rebuilds and floor are those of the store when the position was resolved.
-	rebuilds, floor uint64
-	// skipDeleted is the number up to which the subscriber needs no deletions.
-	skipDeleted uint64
-
-	due        bool
-	sent       Position
-	scanned    uint64 // nothing is due up to this number
-	transfer   uint32 // the whole-state transfer under way, or 0
-	transfers  uint32
-	inflight   []sending
-	sentAt     time.Duration
-	catchingUp bool
-
-	heardAt time.Duration
-	inForce Position
-	summary *RelaySummary
+	// ackedPosition is the latest acknowledged position. needsFullTransfer is set
+	// while the subscriber cannot continue from there.
+	ackedPosition     Position
+	needsFullTransfer bool
+	isResolved        bool
+	// storeRebuilds and storeMinDeltaNumber are the store's values when the position
+	// was resolved.
+	storeRebuilds, storeMinDeltaNumber uint64
+	// skipDeletedUpTo is the number up to which deletions need not be sent.
+	skipDeletedUpTo uint64
+
+	isPending      bool
+	sentPosition   Position
+	scannedNumber  uint64 // no unsent changes up to this number
+	transferID     uint32 // current full transfer, or 0
+	lastTransferID uint32
+	inflight       []inflightBatch
+	sentAt         time.Duration
+	isCatchingUp   bool
+
+	receivedAt time.Duration
+	applied    Position
+	summary    *RelaySummary
 }
 
-func (sub *subscriber) wants(e *entry) bool {
-	if e.item.Deleted && e.number <= sub.skipDeleted {
+func (sub *subscriber) needs(e *entry) bool {
+	if e.item.Deleted && e.number <= sub.skipDeletedUpTo {
 		return false
 	}
 	if sub.keys == nil {
@@ -55,79 +56,81 @@
 	return ok
 }
 
-// rewind goes back to the first batch that was not acknowledged in time.
-func (sub *subscriber) rewind(now, after time.Duration) {
-	if len(sub.inflight) == 0 || now-sub.sentAt < after {
+// rewindIfUnacked resets the sent position to the start of the first unacknowledged
+// batch if no batch was sent for the timeout.
+func (sub *subscriber) rewindIfUnacked(now, timeout time.Duration) {
+	if len(sub.inflight) == 0 || now-sub.sentAt < timeout {
 		return
 	}
 	first := sub.inflight[0]
-	sub.sent, sub.scanned, sub.transfer = first.from, first.from.Number, first.transfer
-	sub.inflight, sub.due = nil, true
+	sub.sentPosition, sub.scannedNumber, sub.transferID = first.from, first.from.Number, first.transferID
+	sub.inflight, sub.isPending = nil, true
 }
 
-// take records that everything up to a batch has arrived.
-func (sub *subscriber) take(a *Ack) {
-	i := slices.IndexFunc(sub.inflight, func(s sending) bool {
-		return s.to == a.Received && s.transfer == a.TransferID
+// recordAck records that the subscriber has stored every batch up to the
+// acknowledged one, and its reported progress.
+func (sub *subscriber) recordAck(a *Ack) {
+	i := slices.IndexFunc(sub.inflight, func(s inflightBatch) bool {
+		return s.to == a.Received && s.transferID == a.TransferID
 	})
 	for _, b := range sub.inflight[:i+1] {
-		if b.transfer == 0 || !b.more {
-			sub.start, sub.rebuild = b.to, false
+		if b.transferID == 0 || !b.hasMore {
+			sub.ackedPosition, sub.needsFullTransfer = b.to, false
 		}
 	}
 	sub.inflight = slices.Delete(sub.inflight, 0, i+1)
-	if a.TransferID == 0 && !sub.rebuild && a.Received.Newer(sub.start) {
-		sub.start = a.Received
+	if a.TransferID == 0 && !sub.needsFullTransfer && a.Received.Newer(sub.ackedPosition) {
+		sub.ackedPosition = a.Received
 	}
-	if a.Applied.Newer(sub.inForce) {
-		sub.inForce = a.Applied
+	if a.Applied.Newer(sub.applied) {
+		sub.applied = a.Applied
 	}
 	if a.Summary != nil {
 		sub.summary = a.Summary
 	}
 }
 
-// resolve finds where a subscriber continues. It returns false while the
-// subscriber is ahead of the store.
-func (s *Source) resolve(sub *subscriber) bool {
-	if sub.resolved && sub.rebuilds == s.store.rebuilds && (sub.floor == s.store.floor || sub.scanned >= s.store.floor) {
+// resolvePosition determines the position from which a subscriber continues. It
+// returns false while the subscriber is ahead of the store.
+func (s *Source) resolvePosition(sub *subscriber) bool {
+	if sub.isResolved && sub.storeRebuilds == s.store.rebuildCount && (sub.storeMinDeltaNumber == s.store.minDeltaNumber || sub.scannedNumber >= s.store.minDeltaNumber) {
 		return true
 	}
-	if sub.start.Newer(s.store.position) {
+	if sub.ackedPosition.Newer(s.store.position) {
 		return false
 	}
-	sub.resolved, sub.rebuilds, sub.floor = true, s.store.rebuilds, s.store.floor
-	sub.inflight, sub.transfer = nil, 0
+	sub.isResolved, sub.storeRebuilds, sub.storeMinDeltaNumber = true, s.store.rebuildCount, s.store.minDeltaNumber
+	sub.inflight, sub.transferID = nil, 0
 	s.endCatchUp(sub)
-	n, ok := s.store.ancestor(sub.start)
+	n, ok := s.store.lastCommonNumber(sub.ackedPosition)
 	switch {
-	case sub.start == Position{} && !sub.rebuild:
-		sub.sent, sub.scanned, sub.skipDeleted = Position{}, 0, s.store.position.Number
-	case ok && !sub.rebuild:
-		sub.sent, sub.scanned = Position{Epoch: sub.start.Epoch, Number: n}, n
+	case sub.ackedPosition == Position{} && !sub.needsFullTransfer:
+		sub.sentPosition, sub.scannedNumber, sub.skipDeletedUpTo = Position{}, 0, s.store.position.Number
+	case ok && !sub.needsFullTransfer:
+		sub.sentPosition, sub.scannedNumber = Position{Epoch: sub.ackedPosition.Epoch, Number: n}, n
 	default:
-		sub.rebuild = true
-		sub.transfers++
-		sub.sent, sub.scanned, sub.transfer = Position{}, 0, sub.transfers
-		sub.skipDeleted = s.store.position.Number
+		sub.needsFullTransfer = true
+		sub.lastTransferID++
+		sub.sentPosition, sub.scannedNumber, sub.transferID = Position{}, 0, sub.lastTransferID
+		sub.skipDeletedUpTo = s.store.position.Number
 	}
 	return true
 }
 
-func (s *Source) subscribe(now time.Duration, peer PeerID, session uint64, m *Subscribe) []Delivery {
-	if old, ok := s.peers[peer]; ok && old.session >= session {
+func (s *Source) handleSubscribe(now time.Duration, peer PeerID, session uint64, m *Subscribe) []Delivery {
+	if old, ok := s.subscribersByPeer[peer]; ok && old.session >= session {
 		return nil
 	}
-	s.remove(peer)
-	if old, ok := s.byID[m.DaemonID]; ok {
-		s.remove(old.peer)
+	s.removeSubscriber(peer)
+	if old, ok := s.subscribersByID[m.DaemonID]; ok {
+		s.removeSubscriber(old.peer)
 	}
-	if len(s.order) >= s.opts.MaxSubscribers {
-		return []Delivery{{Peer: peer, Message: DownstreamMessage{Session: session, Refusal: &Refusal{RetryAfter: s.retryAfter()}}}}
+	if len(s.subscribers) >= s.opts.MaxSubscribers {
+		return []Delivery{{Peer: peer, Message: DownstreamMessage{Session: session, Refusal: &Refusal{RetryAfter: s.randomRetryAfter()}}}}
 	}
 	sub := &subscriber{
-		peer: peer, id: m.DaemonID, session: session, relay: m.IsRelay,
-		start: m.Position, rebuild: m.FullTransfer, due: true, heardAt: now,
+		peer: peer, id: m.DaemonID, session: session, isRelay: m.IsRelay,
+		ackedPosition: m.Position, needsFullTransfer: m.FullTransfer, isPending: true, receivedAt: now,
 	}
 	if len(m.Keys) > 0 {
 		sub.keys = make(map[string]struct{}, len(m.Keys))
@@ -135,88 +138,90 @@
 			sub.keys[key] = struct{}{}
 		}
 		for key := range sub.keys {
-			s.byKey[key] = append(s.byKey[key], sub)
+			s.subscribersByKey[key] = append(s.subscribersByKey[key], sub)
 		}
 	}
-	s.departed = slices.DeleteFunc(s.departed, func(d departedDaemon) bool { return d.id == m.DaemonID })
-	s.peers[peer], s.byID[m.DaemonID] = sub, sub
-	s.order = append(s.order, sub)
-	return s.serve(now, sub, nil)
+	s.disconnected = slices.DeleteFunc(s.disconnected, func(d disconnectedDaemon) bool { return d.id == m.DaemonID })
+	s.subscribersByPeer[peer], s.subscribersByID[m.DaemonID] = sub, sub
+	s.subscribers = append(s.subscribers, sub)
+	return s.sendBatches(now, sub, nil)
 }
 
-// retryAfter is uniform between a half and one and a half of the mean.
-func (s *Source) retryAfter() time.Duration {
+// randomRetryAfter returns a delay uniformly distributed between 0.5 and 1.5 times
+// SourceOptions.RetryAfter.
+func (s *Source) randomRetryAfter() time.Duration {
 	return s.opts.RetryAfter/2 + time.Duration(s.opts.Rand.Int64N(int64(s.opts.RetryAfter)))
 }
 
-// Disconnect ends the session of a connection that was lost.
+// Disconnect ends the session of a lost connection.
 func (s *Source) Disconnect(now time.Duration, peer PeerID) {
-	if sub, ok := s.peers[peer]; ok {
-		s.remember(now, sub)
-		s.remove(peer)
+	if sub, ok := s.subscribersByPeer[peer]; ok {
+		s.recordDisconnected(now, sub)
+		s.removeSubscriber(peer)
 	}
 }
 
-func (s *Source) remove(peer PeerID) {
-	sub, ok := s.peers[peer]
+func (s *Source) removeSubscriber(peer PeerID) {
+	sub, ok := s.subscribersByPeer[peer]
 	if !ok {
 		return
 	}
 	s.endCatchUp(sub)
-	delete(s.peers, peer)
-	delete(s.byID, sub.id)
-	same := func(o *subscriber) bool { return o == sub }
-	s.order = slices.DeleteFunc(s.order, same)
+	delete(s.subscribersByPeer, peer)
+	delete(s.subscribersByID, sub.id)
+	isRemoved := func(o *subscriber) bool { return o == sub }
+	s.subscribers = slices.DeleteFunc(s.subscribers, isRemoved)
 	for key := range sub.keys {
-		s.byKey[key] = slices.DeleteFunc(s.byKey[key], same)
-		if len(s.byKey[key]) == 0 {
-			delete(s.byKey, key)
+		s.subscribersByKey[key] = slices.DeleteFunc(s.subscribersByKey[key], isRemoved)
+		if len(s.subscribersByKey[key]) == 0 {
+			delete(s.subscribersByKey, key)
 		}
 	}
 }
 
-func (s *Source) dropSilent(now time.Duration) {
-	for _, sub := range slices.Clone(s.order) {
-		if now-sub.heardAt >= s.opts.SubscriberTimeout {
+func (s *Source) disconnectTimedOut(now time.Duration) {
+	for _, sub := range slices.Clone(s.subscribers) {
+		if now-sub.receivedAt >= s.opts.SubscriberTimeout {
 			s.Disconnect(now, sub.peer)
 		}
 	}
-	s.departed = slices.DeleteFunc(s.departed, func(d departedDaemon) bool {
-		return now-d.at >= s.opts.DisconnectedRetention
+	s.disconnected = slices.DeleteFunc(s.disconnected, func(d disconnectedDaemon) bool {
+		return now-d.disconnectedAt >= s.opts.DisconnectedRetention
 	})
 }
 
-func (s *Source) acknowledge(now time.Duration, sub *subscriber, a *Ack) []Delivery {
-	sub.heardAt = now
-	sub.take(a)
-	s.noteAhead(a.NewerVersions)
-	out := s.serve(now, sub, nil)
+func (s *Source) handleAck(now time.Duration, sub *subscriber, a *Ack) []Delivery {
+	sub.receivedAt = now
+	sub.recordAck(a)
+	s.recordNewerVersions(a.NewerVersions)
+	out := s.sendBatches(now, sub, nil)
 	if a.Nonce == 0 {
 		return out
 	}
-	status := s.status(now, sub, a.Nonce)
+	status := s.newStatus(now, sub, a.Nonce)
 	return append(out, Delivery{Peer: sub.peer, Message: DownstreamMessage{Session: sub.session, Status: status}})
 }
 
-func (s *Source) status(now time.Duration, sub *subscriber, nonce uint64) *Status {
-	st := &Status{Nonce: nonce, Head: s.store.complete}
-	if s.confirmed {
-		st.Confirmed, st.ConfirmationAge = true, widen(now-s.confirmedAt)
+func (s *Source) newStatus(now time.Duration, sub *subscriber, nonce uint64) *Status {
+	st := &Status{Nonce: nonce, Head: s.store.completePosition}
+	if s.isConfirmed {
+		st.Confirmed, st.ConfirmationAge = true, widenAge(now-s.confirmedAt)
 	}
-	idle := !sub.due && sub.resolved && len(sub.inflight) == 0 && sub.rebuilds == s.store.rebuilds
-	if !idle || !s.store.whole() {
+	isCaughtUp := !sub.isPending && sub.isResolved && len(sub.inflight) == 0 && sub.storeRebuilds == s.store.rebuildCount
+	if !isCaughtUp || !s.store.isComplete() {
 		return st
 	}
-	st.From, st.To = sub.sent, s.flushed
-	if s.flushed == s.store.position {
-		st.HasDigest, st.Digest = true, digest(s.bucketsFor(sub))
+	st.From, st.To = sub.sentPosition, s.flushedPosition
+	if s.flushedPosition == s.store.position {
+		st.HasDigest, st.Digest = true, digest(s.bucketDigestsFor(sub))
 	}
 	return st
 }
 
-// clockRateError is the divisor of the greatest relative error between the
-// rates of two clocks, as a share of the time measured.
-const clockRateError = 1000
+// clockRateErrorDivisor is the reciprocal of the assumed maximum relative difference
+// between the rates of two clocks.
+const clockRateErrorDivisor = 1000
 
-// widen returns an age that holds on any clock within the rate error.
-func widen(age time.Duration) time.Duration { return age + age/clockRateError }
+// widenAge increases an age by the maximum clock rate error, so that it is not too
+// low on another clock.
+func widenAge(age time.Duration) time.Duration { return age + age/clockRateErrorDivisor }
