--- a/core/lease/link_test.go
+++ b/core/lease/link_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-// pathState tells on which connections a simulated path delivers messages.
+// pathState is the set of connections on which a simulated path delivers messages.
 type pathState struct{ current, replacement bool }
 
 // TestLinkDetectsUnresponsivePath runs a Link over simulated paths that drop
--- a/core/spread/schedule_test.go
+++ b/core/spread/schedule_test.go
@@ -244,7 +244,7 @@
 	}
 	n.root = root
 	for _, it := range n.committed {
-		if held, ok := store.items[it.Key]; !ok || it.Version.Newer(held.item.Version) {
+		if stored, ok := store.items[it.Key]; !ok || it.Version.Newer(stored.item.Version) {
 			if _, err := root.Publish(it); err != nil {
 				n.t.Fatal(err)
 			}
@@ -299,11 +299,11 @@
 			n.t.Fatalf("%s has applied %v, root is at %v", d.name, d.sink.Applied(), n.root.Store().Position())
 		}
 		for _, it := range n.root.Store().Items() {
-			held, ok := d.sink.Store().items[it.Key]
+			stored, ok := d.sink.Store().items[it.Key]
 			if sub := d.sink.opts.Keys; sub != nil && !contains(sub, it.Key) {
 				continue
 			}
-			if !ok || held.item.Version != it.Version || held.hash != it.hash() {
+			if !ok || stored.item.Version != it.Version || stored.hash != it.hash() {
 				n.t.Fatalf("%s lacks %s at %v", d.name, it.Key, it.Version)
 			}
 		}
--- a/core/spread/traps_test.go
+++ b/core/spread/sink_test.go
@@ -293,11 +293,11 @@
 		_, err = root.Publish(Item{Key: fmt.Sprint(i), Version: root.NextVersion()})
 		is.NoErr(err)
 	}
-	served := 0
+	batchCount := 0
 	for peer := range PeerID(5) {
-		served += len(root.Receive(0, peer, UpstreamMessage{Session: 1, Subscribe: &Subscribe{DaemonID: fmt.Sprint(peer)}}))
+		batchCount += len(root.Receive(0, peer, UpstreamMessage{Session: 1, Subscribe: &Subscribe{DaemonID: fmt.Sprint(peer)}}))
 	}
-	is.Equal(served, 2)
+	is.Equal(batchCount, 2)
 	root.Disconnect(0, 0)
 	is.Equal(len(root.Tick(0)), 1)
 }
--- a/core/spread/window_test.go
+++ b/core/spread/window_test.go
@@ -35,16 +35,16 @@
 	now := time.Second
 	root.RecordConfirmation(now)
 	sink := NewSink(now, NewStore(StoreOptions{}), SinkOptions{DaemonID: "balancer-1"})
-	exchange := func(down []Delivery) (adopted int) {
-		for len(down) > 0 {
-			out := sink.Receive(now, down[0].Message)
-			adopted += len(out.Applied)
-			down = down[1:]
+	exchange := func(deliveries []Delivery) (appliedCount int) {
+		for len(deliveries) > 0 {
+			out := sink.Receive(now, deliveries[0].Message)
+			appliedCount += len(out.Applied)
+			deliveries = deliveries[1:]
 			for _, m := range out.Messages {
-				down = append(down, root.Receive(now, 1, m)...)
+				deliveries = append(deliveries, root.Receive(now, 1, m)...)
 			}
 		}
-		return adopted
+		return appliedCount
 	}
 	publish := func(key string) {
 		_, err := root.Publish(Item{Key: key, Version: root.NextVersion(), Body: []byte("x")})
