--- a/core/lease/status.go
+++ b/core/lease/status.go
@@ -52,11 +52,11 @@
 		text    string
 	}{
 		{m.drainedByOperator, "drained by an operator"},
-		{m.announcement.Draining, "draining as announced by its agent"},
+		{m.announcement.Draining, "asks to leave"},
 		{m.phase == view.Joining, "has not adopted a view yet"},
-		{m.addressReassigned, "its address was announced by another backend server"},
-		{m.leaseExpired(now, &r.options), "lease expired"},
-		{!m.announcement.Healthy, "reported as unhealthy by its agent"},
+		{m.addressReassigned, "its address was taken by another backend server"},
+		{m.leaseExpired(now, &r.options), "lease ended"},
+		{!m.announcement.Healthy, "its agent finds it failing"},
 		{m.isHeldDown(now, &r.options), "held down for flapping"},
 	}
 	var out []string
