--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -21,8 +21,8 @@
 	ErrReplayed = errorNamespace.NewType("replayed")
 	// ErrInvalid reports an announcement without a required field.
 	ErrInvalid = errorNamespace.NewType("invalid")
-	// ErrNotRegistered reports a backend server that is not a member.
-	ErrNotRegistered = errorNamespace.NewType("unknown")
+	// ErrNotMember reports a backend server that is not a member.
+	ErrNotMember = errorNamespace.NewType("unknown")
 )
 
 // Options configures a Registry. Zero values select the defaults.
@@ -79,7 +79,7 @@
 	}
 }
 
-// member is one registered backend server.
+// member is one backend server of a service.
 type member struct {
 	id                string
 	service           view.ServiceID
--- a/core/lease/registry.go
+++ b/core/lease/registry.go
@@ -265,11 +265,11 @@
 }
 
 // Remove removes a backend server that, as an operator knows, will not return. It
-// returns an error of type ErrNotRegistered if there is none with the ID.
+// returns an error of type ErrNotMember if no member has the ID.
 func (r *Registry) Remove(id string) error {
 	m := r.members[id]
 	if m == nil {
-		return ErrNotRegistered.New("backend server %q is not registered", id)
+		return ErrNotMember.New("backend server %q is not a member of any service", id)
 	}
 	r.removeMember(m)
 	return nil
--- a/core/spread/reconnect.go
+++ b/core/spread/reconnect.go
@@ -11,11 +11,12 @@
 
 // BackoffOptions configures a Backoff.
 type BackoffOptions struct {
-	// InitialRange is the upper bound of the first delay. A longer range lowers the
-	// rate at which many daemons reconnect after a common failure. Zero means 2 s.
-	InitialRange time.Duration
-	// MaxRange is the upper bound of all delays. Zero means 1 minute.
-	MaxRange time.Duration
+	// BaseDelay is the upper bound of the random delay after the first failure. A
+	// higher bound lowers the rate at which many daemons reconnect after a common
+	// failure. Zero means 2 s.
+	BaseDelay time.Duration
+	// MaxDelay is the upper bound of every random delay. Zero means 1 minute.
+	MaxDelay time.Duration
 	// Rand is the source of the delays. It is required.
 	Rand *rand.Rand
 }
@@ -33,14 +34,14 @@
 
 // NewBackoff returns a Backoff without failures.
 func NewBackoff(opts BackoffOptions) *Backoff {
-	setDefault(&opts.InitialRange, 2*time.Second)
-	setDefault(&opts.MaxRange, time.Minute)
+	setDefault(&opts.BaseDelay, 2*time.Second)
+	setDefault(&opts.MaxDelay, time.Minute)
 	return &Backoff{opts: opts}
 }
 
 // Next returns the delay before the next attempt: floor plus a random duration.
 func (b *Backoff) Next(floor time.Duration) time.Duration {
-	limit := min(b.opts.InitialRange<<min(b.failures, maxDoublings), b.opts.MaxRange)
+	limit := min(b.opts.BaseDelay<<min(b.failures, maxDoublings), b.opts.MaxDelay)
 	b.failures++
 	return floor + time.Duration(b.opts.Rand.Int64N(int64(limit)+1))
 }
--- a/core/spread/sink_test.go
+++ b/core/spread/sink_test.go
@@ -350,7 +350,7 @@
 
 func TestBackoffDelayIsBounded(t *testing.T) {
 	is := is.New(t)
-	b := NewBackoff(BackoffOptions{InitialRange: time.Second, MaxRange: 8 * time.Second, Rand: rand.New(rand.NewPCG(1, 1))})
+	b := NewBackoff(BackoffOptions{BaseDelay: time.Second, MaxDelay: 8 * time.Second, Rand: rand.New(rand.NewPCG(1, 1))})
 	for i := range 100 {
 		d := b.Next(time.Second)
 		is.True(d >= time.Second && d <= time.Second+min(time.Second<<min(i, 10), 8*time.Second))
--- a/internal/subscribe/subscribe.go
+++ b/internal/subscribe/subscribe.go
@@ -87,8 +87,8 @@
 	store := spread.NewStore(spread.StoreOptions{DropBodies: true})
 	s.sink = spread.NewSink(0, store, spread.SinkOptions{DaemonID: o.Name, Keys: o.Keys})
 	backoff := spread.NewBackoff(spread.BackoffOptions{
-		InitialRange: o.Retry.First,
-		MaxRange:     o.Retry.Max,
+		BaseDelay: o.Retry.First,
+		MaxDelay:     o.Retry.Max,
 		Rand:         rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	})
 	for i := 0; ctx.Err() == nil; i++ {
