--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -21,7 +21,7 @@
 	ErrReplayed = errorNamespace.NewType("replayed")
 	// ErrInvalid reports an announcement without a required field.
 	ErrInvalid = errorNamespace.NewType("invalid")
-	// ErrNotMember reports a backend server that is not a member.
+	// ErrNotMember reports an ID that belongs to no member.
 	ErrNotMember = errorNamespace.NewType("unknown")
 )
 
--- a/core/lease/publish.go
+++ b/core/lease/publish.go
@@ -152,7 +152,8 @@
 }
 
 // hasOtherReadyMember reports whether the service has another eligible member at
-// full weight. Without one, a warming member gets its full weight at once.
+// full weight. Only such a member can take the flows that a reduced weight keeps
+// off a cold one; without it, a warming member gets its full weight at once.
 func (r *Registry) hasOtherReadyMember(s *service, m *member) bool {
 	for _, other := range s.members {
 		if other != m && other.phase == view.Ready && other.isEligible() {
--- a/core/lease/seats.go
+++ b/core/lease/registrations.go
@@ -56,22 +56,22 @@
 // registration becomes stale.
 const registrationGracePeriod = 10 * time.Second
 
-// StaleRegistrations returns the registered addresses that own no flows any more:
-// their backend servers have ended or have been in phase gone for
+// StaleRegistrations returns the registered addresses whose agents own no flows any
+// more: their backend servers have ended or have been in phase gone for
 // registrationGracePeriod, or no agent has announced itself before the end of the
 // partial period.
 func (r *Registry) StaleRegistrations(now time.Duration) []netip.AddrPort {
 	if r.registered == nil {
 		return nil
 	}
-	mayHoldFlows := make(map[netip.AddrPort]bool, len(r.members))
+	mayOwnFlows := make(map[netip.AddrPort]bool, len(r.members))
 	for _, m := range r.members {
 		addr := m.announcement.Packets
-		mayHoldFlows[addr] = mayHoldFlows[addr] || r.mayHoldFlows(now, m)
+		mayOwnFlows[addr] = mayOwnFlows[addr] || r.mayOwnFlows(now, m)
 	}
 	var out []netip.AddrPort
 	for addr := range r.registered.addrs {
-		hasFlows, announced := mayHoldFlows[addr]
+		hasFlows, announced := mayOwnFlows[addr]
 		if !hasFlows && (announced || now >= r.partialUntil) {
 			out = append(out, addr)
 		}
@@ -80,8 +80,8 @@
 	return out
 }
 
-// mayHoldFlows reports whether callers may still have flows to a member.
-func (r *Registry) mayHoldFlows(now time.Duration, m *member) bool {
+// mayOwnFlows reports whether a member may still own flows.
+func (r *Registry) mayOwnFlows(now time.Duration, m *member) bool {
 	return !m.announcement.Ended && (m.phase != view.Gone || now-m.phaseStart < registrationGracePeriod)
 }
 
--- a/core/lease/seats_test.go
+++ b/core/lease/registrations_test.go
@@ -59,7 +59,7 @@
 		announceAuthoritative(t, r, now, 1)
 		for _, v := range r.Tick(now) {
 			partial = v.Partial
-			is.True(partial == (now < partialLeaseTimes*2*time.Second))
+			is.True(partial == (now < partialPeriodLeases*2*time.Second))
 		}
 	}
 	is.True(!partial)
--- a/core/lease/registry.go
+++ b/core/lease/registry.go
@@ -68,9 +68,9 @@
 	}
 }
 
-// partialLeaseTimes is the number of lease durations after which all members are
-// assumed to have announced themselves to a new leader.
-const partialLeaseTimes = 2
+// partialPeriodLeases is the length, in lease durations, of the partial period:
+// after it, all members are assumed to have announced themselves to a new leader.
+const partialPeriodLeases = 2
 
 // StartEpoch starts an epoch. The registry collects announcements for
 // Options.CollectionPeriod before it publishes the first views of the epoch.
@@ -78,7 +78,7 @@
 func (r *Registry) StartEpoch(now time.Duration, epoch uint64, earlierViews []*view.View) {
 	r.epoch, r.viewNumber, r.isLeading = epoch, 0, true
 	r.collectUntil = now + r.options.CollectionPeriod
-	r.partialUntil = now + partialLeaseTimes*r.options.LeaseDuration
+	r.partialUntil = now + partialPeriodLeases*r.options.LeaseDuration
 	for _, v := range earlierViews {
 		r.restoreView(now, v)
 	}
--- a/core/spread/item.go
+++ b/core/spread/item.go
@@ -16,7 +16,8 @@
 	ErrStaleVersion = Errors.NewType("version")
 	// ErrStaleEpoch reports an epoch that is not newer than the store's.
 	ErrStaleEpoch = Errors.NewType("epoch")
-	// ErrInvalidItem reports an item with an invalid key, body or deletion mark.
+	// ErrInvalidItem reports an item with an invalid key or body, or a deleted item
+	// with a body.
 	ErrInvalidItem = Errors.NewType("item")
 )
 
--- a/core/spread/repair.go
+++ b/core/spread/repair.go
@@ -21,7 +21,7 @@
 // handleCompare returns a Repair of the mismatched buckets, as many as fit in
 // SourceOptions.MaxBatchBytes.
 func (s *Source) handleCompare(sub *subscriber, m *Compare) []Delivery {
-	if m.Position != s.store.position || !s.store.isComplete() || len(m.BucketDigests) != digestBuckets {
+	if m.Position != s.store.resumePosition || !s.store.isComplete() || len(m.BucketDigests) != digestBuckets {
 		return nil
 	}
 	digests := s.bucketDigestsFor(sub)
@@ -47,7 +47,7 @@
 		content[i] = append(content[i], Change{Number: e.number, Item: e.item})
 		sizes[i] += e.item.encodedSize()
 	}
-	r := &Repair{Position: s.store.position}
+	r := &Repair{Position: s.store.resumePosition}
 	size := 0
 	for i, isMismatched := range mismatched {
 		if size += sizes[i]; !isMismatched || size > s.opts.MaxBatchBytes && len(r.Buckets) > 0 {
--- a/core/spread/root.go
+++ b/core/spread/root.go
@@ -15,13 +15,13 @@
 // NewRoot starts an epoch over a store. It returns ErrStaleEpoch unless the epoch is
 // newer than the store's.
 func NewRoot(epoch uint64, store *Store, opts SourceOptions) (*Root, error) {
-	if epoch <= store.position.Epoch {
-		return nil, ErrStaleEpoch.New("epoch %d is not newer than %d", epoch, store.position.Epoch)
+	if epoch <= store.resumePosition.Epoch {
+		return nil, ErrStaleEpoch.New("epoch %d is not newer than %d", epoch, store.resumePosition.Epoch)
 	}
-	if store.isRebuilding {
-		store.abortRebuild()
+	if store.inFullTransfer {
+		store.abortFullTransfer()
 	}
-	start := store.position.Number
+	start := store.resumePosition.Number
 	store.mergeEpochs([]EpochStart{{Epoch: epoch, Start: start}})
 	store.advancePosition(Position{Epoch: epoch, Number: start}, false)
 	return &Root{Source: NewSource(store, opts), epoch: epoch}, nil
@@ -29,7 +29,7 @@
 
 // NextVersion returns the version for the next item to publish.
 func (r *Root) NextVersion() Position {
-	return Position{Epoch: r.epoch, Number: r.store.position.Number + 1}
+	return Position{Epoch: r.epoch, Number: r.store.resumePosition.Number + 1}
 }
 
 // Publish numbers a change. The subscribers get it once the batch window ends. It
--- a/core/spread/schedule_test.go
+++ b/core/spread/schedule_test.go
@@ -46,7 +46,9 @@
 	standby     *testDaemon
 	conns       []*testConnection
 	lastSession uint64
-	committed   []Item // items committed by a quorum, in order
+	// committed lists the items committed by a quorum, in order. Items with the
+	// prefix "soft" are published without a commit, so a failover may lose them.
+	committed []Item
 }
 
 func newNetwork(t *testing.T, seed uint64) *testNetwork {
--- a/core/spread/sink.go
+++ b/core/spread/sink.go
@@ -16,8 +16,8 @@
 	// ProbeInterval is the interval of the probes that confirm the state. Zero means
 	// 2 s.
 	ProbeInterval time.Duration
-	// SyncProbeInterval is the longest probe interval until HasSynced. Zero means
-	// 250 ms.
+	// SyncProbeInterval is the longest probe interval until HasSynced reports
+	// true. Zero means 250 ms.
 	SyncProbeInterval time.Duration
 	// SourceTimeout is how long nothing may be received from a Source before
 	// SourceTimedOut reports true. Zero means 10 s.
@@ -43,7 +43,7 @@
 )
 
 // initialSyncProbeInterval is the time between the first two probes of a session
-// before HasSynced. It doubles up to SinkOptions.SyncProbeInterval.
+// that has not synced. It doubles up to SinkOptions.SyncProbeInterval.
 const initialSyncProbeInterval = 50 * time.Millisecond
 
 // probe is a request for the Source's Status that awaits a response.
@@ -71,9 +71,9 @@
 	lastNonce     uint64
 	pendingProbes []probe
 	lastProbeAt   time.Duration
-	// syncProbeDelay is the time until the next probe before HasSynced.
-	syncProbeDelay time.Duration
-	receivedAt     time.Duration
+	// syncProbeInterval is the current probe interval until hasSynced is set.
+	syncProbeInterval time.Duration
+	receivedAt        time.Duration
 
 	transferID       uint32   // latest full transfer of the session
 	transferPosition Position // end of the stored part of that transfer
@@ -123,14 +123,14 @@
 func (s *Sink) Connect(now time.Duration, session uint64) Output {
 	s.session, s.isConnected, s.receivedAt = session, true, now
 	s.transferID, s.transferPosition, s.pendingProbes = 0, Position{}, nil
-	s.syncProbeDelay = min(initialSyncProbeInterval, s.opts.SyncProbeInterval)
+	s.syncProbeInterval = min(initialSyncProbeInterval, s.opts.SyncProbeInterval)
 	var out Output
 	out.Messages = append(out.Messages, s.newMessage(UpstreamMessage{Subscribe: &Subscribe{
 		DaemonID:     s.opts.DaemonID,
-		Position:     s.store.position,
+		Position:     s.store.resumePosition,
 		Keys:         s.opts.Keys,
 		IsRelay:      s.opts.IsRelay,
-		FullTransfer: s.store.isRebuilding,
+		FullTransfer: s.store.inFullTransfer,
 	}}))
 	out.Messages = append(out.Messages, s.newProbe(now))
 	return out
@@ -143,12 +143,12 @@
 func (s *Sink) Tick(now time.Duration) Output {
 	interval := s.opts.ProbeInterval
 	if !s.hasSynced {
-		interval = s.syncProbeDelay
+		interval = s.syncProbeInterval
 	}
 	if !s.isConnected || now-s.lastProbeAt < interval {
 		return Output{}
 	}
-	s.syncProbeDelay = min(2*s.syncProbeDelay, s.opts.SyncProbeInterval)
+	s.syncProbeInterval = min(2*s.syncProbeInterval, s.opts.SyncProbeInterval)
 	return Output{Messages: []UpstreamMessage{s.newProbe(now)}}
 }
 
@@ -192,10 +192,10 @@
 
 // applyDelta stores a delta. ok is false if the store lacks changes before it.
 func (s *Sink) applyDelta(b *Batch) (changed []Item, ok bool) {
-	if s.store.isRebuilding || b.From.Newer(s.store.position) {
+	if s.store.inFullTransfer || b.From.Newer(s.store.resumePosition) {
 		return nil, false
 	}
-	if !b.To.Newer(s.store.position) {
+	if !b.To.Newer(s.store.resumePosition) {
 		return nil, true
 	}
 	s.store.mergeEpochs(b.Epochs)
@@ -216,9 +216,9 @@
 	}
 	if b.TransferID > s.transferID {
 		s.transferID, s.transferPosition = b.TransferID, Position{}
-		s.store.beginRebuild()
+		s.store.beginFullTransfer()
 	}
-	if !s.store.isRebuilding { // The last batch was sent again, with later changes.
+	if !s.store.inFullTransfer { // The last batch was sent again, with later changes.
 		return s.applyDelta(b)
 	}
 	if b.From.Newer(s.transferPosition) {
@@ -230,14 +230,14 @@
 	s.transferPosition = b.To
 	s.store.mergeEpochs(b.Epochs)
 	for _, c := range b.Changes {
-		if s.store.putTransferred(c) {
+		if s.store.putFromTransfer(c) {
 			changed = append(changed, c.Item)
 		}
 	}
 	if b.HasMore {
 		return changed, true
 	}
-	changed = append(changed, s.store.finishRebuild(b.To)...)
+	changed = append(changed, s.store.finishFullTransfer(b.To)...)
 	s.store.advancePosition(b.To, false)
 	return changed, true
 }
@@ -250,19 +250,19 @@
 		return Output{}
 	}
 	if st.Confirmed {
-		s.addConfirmedHead(confirmedHead{head: st.Head, asOf: answered.sentAt - widenAge(st.ConfirmationAge)})
+		s.addConfirmedHead(confirmedHead{head: st.Head, asOf: answered.sentAt - addClockRateError(st.ConfirmationAge)})
 	}
-	if !s.store.isRebuilding && !st.From.Newer(s.store.position) && st.To.Newer(s.store.position) {
+	if !s.store.inFullTransfer && !st.From.Newer(s.store.resumePosition) && st.To.Newer(s.store.resumePosition) {
 		s.store.advancePosition(st.To, false)
 	}
 	hadSynced := s.hasSynced
 	out := s.applyChanges(nil)
 	if s.hasSynced != hadSynced {
-		out.Messages = append(out.Messages, s.newAck(Ack{Received: s.store.position}))
+		out.Messages = append(out.Messages, s.newAck(Ack{Received: s.store.resumePosition}))
 	}
 	if s.hasDiverged(st) {
 		out.Messages = append(out.Messages, s.newMessage(UpstreamMessage{Compare: &Compare{
-			Position:      s.store.position,
+			Position:      s.store.resumePosition,
 			BucketDigests: append([]uint64(nil), s.store.bucketDigests[:]...),
 		}}))
 	}
@@ -270,19 +270,19 @@
 }
 
 func (s *Sink) hasDiverged(st *Status) bool {
-	return st.HasDigest && s.store.isComplete() && st.To == s.store.position && st.Digest != s.store.Digest()
+	return st.HasDigest && s.store.isComplete() && st.To == s.store.resumePosition && st.Digest != s.store.Digest()
 }
 
 // handleRepair stores the Source's content of mismatched buckets.
 func (s *Sink) handleRepair(r *Repair) Output {
-	if r.Position != s.store.position || !s.store.isComplete() {
+	if r.Position != s.store.resumePosition || !s.store.isComplete() {
 		return Output{}
 	}
 	changed, newer := s.store.applyRepair(r)
 	out := s.applyChanges(changed)
 	if len(newer) > 0 {
 		out.Messages = append(out.Messages, s.newAck(Ack{
-			Received:      s.store.position,
+			Received:      s.store.resumePosition,
 			NewerVersions: newer[:min(len(newer), maxNewerVersions)],
 		}))
 	}
@@ -316,7 +316,7 @@
 // updateAsOf sets asOf to the latest time of the confirmed heads that the store has
 // reached, and removes those heads.
 func (s *Sink) updateAsOf() {
-	if s.store.isRebuilding {
+	if s.store.inFullTransfer {
 		return
 	}
 	s.confirmedHeads = slices.DeleteFunc(s.confirmedHeads, func(h confirmedHead) bool {
@@ -347,7 +347,7 @@
 	if extra := len(s.pendingProbes) - maxProbes; extra > 0 {
 		s.pendingProbes = slices.Delete(s.pendingProbes, 0, extra)
 	}
-	return s.newAck(Ack{Received: s.store.position, Nonce: s.lastNonce})
+	return s.newAck(Ack{Received: s.store.resumePosition, Nonce: s.lastNonce})
 }
 
 // takeProbe removes and returns the pending probe with a nonce.
--- a/core/spread/sink_test.go
+++ b/core/spread/sink_test.go
@@ -205,7 +205,7 @@
 			out := p.sink.Connect(p.now, 50)
 			first := p.root.Receive(p.now, 1, out.Messages[0])
 			p.sink.Receive(p.now, first[0].Message)
-			is.True(p.sink.Store().isRebuilding)
+			is.True(p.sink.Store().inFullTransfer)
 			p.session = 50
 			p.connect()
 			p.run()
--- a/core/spread/source.go
+++ b/core/spread/source.go
@@ -75,12 +75,12 @@
 	subscribers       []*subscriber // in order of arrival, for reproducible runs
 	subscribersByKey  map[string][]*subscriber
 
-	flushedPosition Position // position of the store at the latest flush
-	flushedAt       time.Duration
-	hasFlushed      bool
-	flushedRebuilds uint64
-	catchUpCount    int
-	sharedBatch     *Batch // latest batch for subscribers of every key
+	flushedPosition      Position // position of the store at the latest flush
+	flushedAt            time.Duration
+	hasFlushed           bool // whether flushedPosition and flushedAt are valid
+	flushedTransferCount uint64
+	catchUpCount         int
+	sharedBatch          *Batch // latest batch for subscribers of every key
 
 	isConfirmed   bool
 	confirmedAt   time.Duration
@@ -134,7 +134,7 @@
 	s.disconnectTimedOut(now)
 	var out []Delivery
 	if s.BatchDue(now) {
-		s.markPending(now)
+		s.flush(now)
 	}
 	for _, sub := range s.subscribers {
 		sub.rewindIfUnacked(now, s.opts.ResendAfter)
@@ -146,18 +146,19 @@
 // BatchDue reports whether there are unsent changes and the batch window after the
 // previous batch has ended.
 func (s *Source) BatchDue(now time.Duration) bool {
-	if s.flushedPosition == s.store.position || !s.store.isComplete() {
+	if s.flushedPosition == s.store.resumePosition || !s.store.isComplete() {
 		return false
 	}
 	return !s.hasFlushed || now-s.flushedAt >= s.opts.BatchWindow
 }
 
-// markPending marks the subscribers with changes since the previous flush.
-func (s *Source) markPending(now time.Duration) {
-	from, rebuilds := s.flushedPosition, s.flushedRebuilds
-	s.flushedPosition, s.flushedRebuilds = s.store.position, s.store.rebuildCount
+// flush ends a batch window: it marks the subscribers with changes since the
+// previous flush as pending.
+func (s *Source) flush(now time.Duration) {
+	from, transferCount := s.flushedPosition, s.flushedTransferCount
+	s.flushedPosition, s.flushedTransferCount = s.store.resumePosition, s.store.fullTransferCount
 	s.hasFlushed, s.flushedAt = true, now
-	allPending := from.Epoch != s.flushedPosition.Epoch || rebuilds != s.flushedRebuilds
+	allPending := from.Epoch != s.flushedPosition.Epoch || transferCount != s.flushedTransferCount
 	for e := s.store.firstAfter(from.Number); e != nil && !allPending; e = e.next {
 		for _, sub := range s.subscribersByKey[e.item.Key] {
 			sub.isPending = true
@@ -240,10 +241,10 @@
 // Subscribers of every key are mostly at the same position and share the batch.
 func (s *Source) buildBatch(sub *subscriber) *Batch {
 	isShareable := sub.keys == nil && sub.transferID == 0 && sub.skipDeletedUpTo <= sub.scannedNumber
-	if b := s.sharedBatch; isShareable && b != nil && b.From == sub.sentPosition && b.To == s.store.position {
+	if b := s.sharedBatch; isShareable && b != nil && b.From == sub.sentPosition && b.To == s.store.resumePosition {
 		return b
 	}
-	b := &Batch{From: sub.sentPosition, To: s.store.position, TransferID: sub.transferID}
+	b := &Batch{From: sub.sentPosition, To: s.store.resumePosition, TransferID: sub.transferID}
 	size := 0
 	for e := s.store.firstAfter(sub.scannedNumber); e != nil; e = e.next {
 		if !sub.needs(e) {
--- a/core/spread/store.go
+++ b/core/spread/store.go
@@ -41,17 +41,18 @@
 	tombstoneCount int
 	bucketDigests  [digestBuckets]uint64
 	epochs         []EpochStart
-	// position is the position to continue from. completePosition is the latest
-	// position at which no change was missing.
-	position, completePosition Position
+	// resumePosition is the position to continue from. It is newer than
+	// completePosition, the latest position at which no change was missing, while
+	// further batches of a delta are expected.
+	resumePosition, completePosition Position
 	// minDeltaNumber is the lowest number from which a delta is complete. Deletions
 	// up to that number may be missing: they were pruned, or a full transfer did not
 	// contain them.
 	minDeltaNumber uint64
-	// isRebuilding is set from the first to the last batch of a full transfer.
-	// rebuildCount is the number of completed or aborted ones.
-	isRebuilding bool
-	rebuildCount uint64
+	// inFullTransfer is set from the first to the last batch of a full transfer.
+	// fullTransferCount is the number of completed or aborted ones.
+	inFullTransfer    bool
+	fullTransferCount uint64
 }
 
 // NewStore returns an empty Store.
@@ -100,8 +101,8 @@
 	return d
 }
 
-// isComplete reports whether no change is missing at the position.
-func (s *Store) isComplete() bool { return s.position == s.completePosition && !s.isRebuilding }
+// isComplete reports whether no change is missing at resumePosition.
+func (s *Store) isComplete() bool { return s.resumePosition == s.completePosition && !s.inFullTransfer }
 
 // put stores a change if its version is newer than the stored one. It reports
 // whether the change was stored.
@@ -237,14 +238,14 @@
 	return e
 }
 
-// advancePosition sets the position unless the current one is newer. It also sets
-// the complete position unless hasMore is set.
+// advancePosition sets resumePosition unless the current one is newer. It also sets
+// completePosition unless hasMore is set.
 func (s *Store) advancePosition(to Position, hasMore bool) {
-	if to.Newer(s.position) {
-		s.position = to
+	if to.Newer(s.resumePosition) {
+		s.resumePosition = to
 	}
-	if !hasMore && s.position.Newer(s.completePosition) {
-		s.completePosition = s.position
+	if !hasMore && s.resumePosition.Newer(s.completePosition) {
+		s.completePosition = s.resumePosition
 	}
 }
 
@@ -256,7 +257,7 @@
 			continue
 		}
 		s.epochs = append(s.epochs, start)
-		for e := s.newest; e != nil && e.number > start.Start && !s.isRebuilding; e = e.prev {
+		for e := s.newest; e != nil && e.number > start.Start && !s.inFullTransfer; e = e.prev {
 			e.number = start.Start
 		}
 	}
@@ -280,20 +281,20 @@
 	return n, n >= s.minDeltaNumber
 }
 
-// beginRebuild unlinks every entry at the start of a full transfer.
-func (s *Store) beginRebuild() {
+// beginFullTransfer unlinks every entry at the start of a full transfer.
+func (s *Store) beginFullTransfer() {
 	for e := s.oldest; e != nil; {
 		next := e.next
 		e.prev, e.next, e.isLinked = nil, nil, false
 		e = next
 	}
 	s.oldest, s.newest = nil, nil
-	s.isRebuilding = true
+	s.inFullTransfer = true
 }
 
-// abortRebuild links every entry again after an interrupted full transfer. The order
-// may lack changes, so subscribers need a full transfer.
-func (s *Store) abortRebuild() {
+// abortFullTransfer links every entry again after an interrupted full transfer. The
+// order may lack changes, so subscribers need a full transfer.
+func (s *Store) abortFullTransfer() {
 	s.oldest, s.newest = nil, nil
 	all := make([]*entry, 0, len(s.items))
 	for _, e := range s.items {
@@ -304,14 +305,14 @@
 	for _, e := range all {
 		s.link(e)
 	}
-	s.minDeltaNumber = s.position.Number + 1
-	s.isRebuilding = false
-	s.rebuildCount++
+	s.minDeltaNumber = s.resumePosition.Number + 1
+	s.inFullTransfer = false
+	s.fullTransferCount++
 }
 
-// putTransferred links the entry of a change of a full transfer. It reports whether
-// the change was stored.
-func (s *Store) putTransferred(c Change) bool {
+// putFromTransfer links the entry of a change of a full transfer. It reports
+// whether the change was stored.
+func (s *Store) putFromTransfer(c Change) bool {
 	e, ok := s.items[c.Item.Key]
 	if !ok || c.Item.Version.Newer(e.item.Version) {
 		return s.put(c)
@@ -322,9 +323,9 @@
 	return false
 }
 
-// finishRebuild ends a full transfer. It removes the keys that the transfer did not
-// contain and returns the live ones among them as deleted items.
-func (s *Store) finishRebuild(to Position) []Item {
+// finishFullTransfer ends a full transfer. It removes the keys that the transfer did
+// not contain, and returns those that were not deleted as deleted items.
+func (s *Store) finishFullTransfer(to Position) []Item {
 	var removed []Item
 	for _, e := range s.items {
 		if e.isLinked {
@@ -337,8 +338,8 @@
 	}
 	sortItems(removed)
 	s.minDeltaNumber = to.Number
-	s.isRebuilding = false
-	s.rebuildCount++
+	s.inFullTransfer = false
+	s.fullTransferCount++
 	return removed
 }
 
--- a/core/spread/subscriber.go
+++ b/core/spread/subscriber.go
@@ -24,10 +24,11 @@
 	// while the subscriber cannot continue from there.
 	ackedPosition     Position
 	needsFullTransfer bool
-	isResolved        bool
-	// storeRebuilds and storeMinDeltaNumber are the store's values when the position
-	// was resolved.
-	storeRebuilds, storeMinDeltaNumber uint64
+	// isResolved is set once resolvePosition has determined where to continue.
+	isResolved bool
+	// storeTransferCount and storeMinDeltaNumber are the store's values at the time
+	// when the position was resolved.
+	storeTransferCount, storeMinDeltaNumber uint64
 	// skipDeletedUpTo is the number up to which deletions need not be sent.
 	skipDeletedUpTo uint64
 
@@ -93,26 +94,26 @@
 // resolvePosition determines the position from which a subscriber continues. It
 // returns false while the subscriber is ahead of the store.
 func (s *Source) resolvePosition(sub *subscriber) bool {
-	if sub.isResolved && sub.storeRebuilds == s.store.rebuildCount && (sub.storeMinDeltaNumber == s.store.minDeltaNumber || sub.scannedNumber >= s.store.minDeltaNumber) {
+	if sub.isResolved && sub.storeTransferCount == s.store.fullTransferCount && (sub.storeMinDeltaNumber == s.store.minDeltaNumber || sub.scannedNumber >= s.store.minDeltaNumber) {
 		return true
 	}
-	if sub.ackedPosition.Newer(s.store.position) {
+	if sub.ackedPosition.Newer(s.store.resumePosition) {
 		return false
 	}
-	sub.isResolved, sub.storeRebuilds, sub.storeMinDeltaNumber = true, s.store.rebuildCount, s.store.minDeltaNumber
+	sub.isResolved, sub.storeTransferCount, sub.storeMinDeltaNumber = true, s.store.fullTransferCount, s.store.minDeltaNumber
 	sub.inflight, sub.transferID = nil, 0
 	s.endCatchUp(sub)
 	n, ok := s.store.lastCommonNumber(sub.ackedPosition)
 	switch {
 	case sub.ackedPosition == Position{} && !sub.needsFullTransfer:
-		sub.sentPosition, sub.scannedNumber, sub.skipDeletedUpTo = Position{}, 0, s.store.position.Number
+		sub.sentPosition, sub.scannedNumber, sub.skipDeletedUpTo = Position{}, 0, s.store.resumePosition.Number
 	case ok && !sub.needsFullTransfer:
 		sub.sentPosition, sub.scannedNumber = Position{Epoch: sub.ackedPosition.Epoch, Number: n}, n
 	default:
 		sub.needsFullTransfer = true
 		sub.lastTransferID++
 		sub.sentPosition, sub.scannedNumber, sub.transferID = Position{}, 0, sub.lastTransferID
-		sub.skipDeletedUpTo = s.store.position.Number
+		sub.skipDeletedUpTo = s.store.resumePosition.Number
 	}
 	return true
 }
@@ -205,14 +206,14 @@
 func (s *Source) newStatus(now time.Duration, sub *subscriber, nonce uint64) *Status {
 	st := &Status{Nonce: nonce, Head: s.store.completePosition}
 	if s.isConfirmed {
-		st.Confirmed, st.ConfirmationAge = true, widenAge(now-s.confirmedAt)
+		st.Confirmed, st.ConfirmationAge = true, addClockRateError(now-s.confirmedAt)
 	}
-	isCaughtUp := !sub.isPending && sub.isResolved && len(sub.inflight) == 0 && sub.storeRebuilds == s.store.rebuildCount
+	isCaughtUp := !sub.isPending && sub.isResolved && len(sub.inflight) == 0 && sub.storeTransferCount == s.store.fullTransferCount
 	if !isCaughtUp || !s.store.isComplete() {
 		return st
 	}
 	st.From, st.To = sub.sentPosition, s.flushedPosition
-	if s.flushedPosition == s.store.position {
+	if s.flushedPosition == s.store.resumePosition {
 		st.HasDigest, st.Digest = true, digest(s.bucketDigestsFor(sub))
 	}
 	return st
@@ -222,6 +223,6 @@
 // between the rates of two clocks.
 const clockRateErrorDivisor = 1000
 
-// widenAge increases an age by the maximum clock rate error, so that it is not too
-// low on another clock.
-func widenAge(age time.Duration) time.Duration { return age + age/clockRateErrorDivisor }
+// addClockRateError increases an age by the maximum clock rate error, so that it is
+// not too low on another clock.
+func addClockRateError(age time.Duration) time.Duration { return age + age/clockRateErrorDivisor }
--- a/internal/subscribe/subscribe.go
+++ b/internal/subscribe/subscribe.go
@@ -88,8 +88,8 @@
 	s.sink = spread.NewSink(0, store, spread.SinkOptions{DaemonID: o.Name, Keys: o.Keys})
 	backoff := spread.NewBackoff(spread.BackoffOptions{
 		BaseDelay: o.Retry.First,
-		MaxDelay:     o.Retry.Max,
-		Rand:         rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		MaxDelay:  o.Retry.Max,
+		Rand:      rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	})
 	for i := 0; ctx.Err() == nil; i++ {
 		order := Order(o.Name, o.Control(), i)
