--- a/core/lease/registry.go
+++ b/core/lease/registry.go
@@ -129,7 +129,8 @@
 	m := r.members[a.ID]
 	if m != nil && !isNewer(&a, &m.announcement) {
 		r.stats.ReplayedAnnouncements++
-		return ErrReplayed.New("announcement %d of incarnation %d of %q is not newer than %d of incarnation %d",
+		// The reply to the agent contains this text; "run" is the incarnation there.
+		return ErrReplayed.New("announcement %d of run %d of %q is not newer than %d of run %d",
 			a.Sequence, a.Incarnation, a.ID, m.announcement.Sequence, m.announcement.Incarnation)
 	}
 	r.stats.Announcements++
--- a/core/lease/status.go
+++ b/core/lease/status.go
@@ -46,6 +46,8 @@
 	return out
 }
 
+// exclusionReasons returns the reasons of a MemberStatus. Their texts are part of the
+// status interface.
 func (r *Registry) exclusionReasons(now time.Duration, m *member) []string {
 	all := []struct {
 		applies bool
