--- a/internal/subscribe/subscribe.go
+++ b/internal/subscribe/subscribe.go
@@ -87,9 +87,9 @@
 	store := spread.NewStore(spread.StoreOptions{DropBodies: true})
 	s.sink = spread.NewSink(0, store, spread.SinkOptions{DaemonID: o.Name, Keys: o.Keys})
 	backoff := spread.NewBackoff(spread.BackoffOptions{
-		InitialRange: o.Retry.First,
-		MaxRange:     o.Retry.Max,
-		Rand:         rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		BaseDelay: o.Retry.First,
+		MaxDelay:  o.Retry.Max,
+		Rand:      rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	})
 	for i := 0; ctx.Err() == nil; i++ {
 		order := Order(o.Name, o.Control(), i)
