--- a/core/attempt/attempt.go
+++ b/core/attempt/attempt.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// GrantTimeout is the longest time a Claim may take. The gateway does not use a
-// later grant, and the home of a key relies on that.
+// GrantTimeout bounds the time from a Claim to its grant. The gateway ignores a
+// later grant, and the primary of a key relies on that.
 const GrantTimeout = time.Second
 
-// Config describes one request and how it is handled.
+// Config describes one request and its timeouts and limits.
 type Config struct {
 	// Key is the Idempotency-Key, or empty.
 	Key string
-	// Repeatable is set if the request may run more than once.
+	// Repeatable is true if the request may run more than once.
 	Repeatable bool
-	// Deadline ends the attempt. No send starts after it.
+	// Deadline ends the request. No send starts after it.
 	Deadline time.Time
-	// SettleAfter is how long an agent may say nothing before it is asked what
-	// became of the attempt.
+	// SettleAfter is how long a send may wait for its response head before the
+	// agent is queried for the state of the attempt.
 	SettleAfter time.Duration
-	// StallTimeout is how long a body may stand still.
+	// StallTimeout is how long a response body may make no progress.
 	StallTimeout time.Duration
-	// ReplyTimeout is how long a Settle, Claim or Refuse may take.
+	// ReplyTimeout bounds a Settle, Fetch, Claim or FenceKey without a reply.
 	ReplyTimeout time.Duration
-	// HedgeAfter is when a second copy of a repeatable request is sent; 0
-	// sends none.
+	// HedgeAfter is the delay before a second copy of a repeatable request is
+	// sent; 0 disables hedging.
 	HedgeAfter time.Duration
-	// MaxSends bounds the sends of one request, the first included.
+	// MaxSends bounds the sends of one request, including the first.
 	MaxSends int
-	// Retries is the service's budget for sends after the first.
+	// Retries limits the sends after the first across the service.
 	Retries RetryLimiter
 }
 
@@ -37,10 +37,10 @@
 
 const (
 	phaseIdle     phase = iota
-	phaseRouting        // Route asked
-	phaseClaiming       // Claim asked
-	phaseWaiting        // a send, settle or fetch is under way
-	phaseRefusing       // Refuse asked
+	phaseRouting        // Route was emitted
+	phaseClaiming       // Claim was emitted
+	phaseWaiting        // a send, settle or fetch is in progress
+	phaseFencing        // FenceKey was emitted
 	phaseFinished
 )
 
@@ -54,266 +54,267 @@
 
 // stream is one exchange with an agent.
 type stream struct {
-	num    uint32
-	kind   streamKind
-	id     ID
-	target Target
-	head   bool
-	// active is the time of the stream's start or last progress.
-	active time.Time
+	num     uint32
+	kind    streamKind
+	id      ID
+	target  Target
+	hasHead bool
+	// lastActive is the time of the stream's start or last progress.
+	lastActive time.Time
 }
 
-// answer is what was passed on to the caller so far.
-type answer struct {
-	begun     bool
+// delivery is the progress of the response to the caller.
+type delivery struct {
+	started   bool
 	length    int64
-	passed    int64
+	offset    int64
 	validator string
 }
 
-// Coordinator is the life of one request at a gateway. A request that is not
-// repeatable has at most one ID that may run at any time.
+// Coordinator is the state machine of one request at a gateway. Each send of
+// the request is an attempt with its own ID. If the request is not repeatable,
+// at most one of its IDs may run at any time.
 type Coordinator struct {
-	cfg      Config
-	phase    phase
-	received time.Time
-	streams  []stream
-	answer   answer
-	lastNum  uint32
-	sends    int
-	tried    []string
-	// current is the ID that holds or asks for the key, or was sent last.
+	cfg          Config
+	phase        phase
+	receivedAt   time.Time
+	streams      []stream
+	delivery     delivery
+	lastNum      uint32
+	sendCount    int
+	triedServers []string
+	// current is the attempt that owns or claims the key, or was sent last.
 	current Assignment
-	// fenced is the proven dead attempt that still holds the key.
-	fenced ID
-	// foreign is set while current belongs to an earlier send of the key.
-	foreign bool
-	// unproven is set if some send was given up without proof.
-	unproven bool
-	hedged   bool
-	fetches  int
-	control  control
-	result   Result
-	out      []Action
+	// fencedID is the attempt that still owns the key although it is fenced.
+	fencedID ID
+	// isAdopted is true while current belongs to an earlier request with the key.
+	isAdopted bool
+	// mayHaveRun is true if an attempt was abandoned without proof that it
+	// did not run.
+	mayHaveRun bool
+	hasHedged  bool
+	fetchCount int
+	keyCall    keyCall
+	result     Result
+	actions    []Action
 }
 
-// control is the exchange with the home of the key.
-type control struct {
-	num   uint32
-	since time.Time
+// keyCall is the last Claim or FenceKey to the primary of the key.
+type keyCall struct {
+	streamNum uint32
+	startedAt time.Time
 }
 
-// maxFetches bounds how often a held answer is read for one attempt.
+// maxFetches bounds the reads of stored responses for one request.
 const maxFetches = 4
 
-// New returns an attempt that waits for Start.
+// New returns a Coordinator that expects Start as its first input.
 func New(cfg Config) *Coordinator { return &Coordinator{cfg: cfg} }
 
-// Finished reports whether the attempt has ended.
-func (a *Coordinator) Finished() bool { return a.phase == phaseFinished }
+// Finished reports whether the request has ended.
+func (c *Coordinator) Finished() bool { return c.phase == phaseFinished }
 
-// Step applies one input and returns what is to be done, in order. The slice is
-// valid until the next call. Inputs of streams that are no longer of interest
-// are dropped.
-func (a *Coordinator) Step(now time.Time, in Input) []Action {
-	a.out = a.out[:0]
-	if a.phase == phaseFinished {
+// Step applies one input and returns the actions to perform, in order. The slice
+// is valid until the next call. Inputs of streams that have ended are ignored.
+func (c *Coordinator) Step(now time.Time, in Input) []Action {
+	c.actions = c.actions[:0]
+	if c.phase == phaseFinished {
 		return nil
 	}
 	switch in := in.(type) {
 	case Start:
-		a.received = now
-		a.route()
+		c.receivedAt = now
+		c.route()
 	case Routed:
-		a.routed(now, in)
+		c.routed(now, in)
 	case Unroutable:
-		a.unroutable(now, in)
+		c.unroutable(now, in)
 	case Claimed:
-		a.claimed(now, in)
+		c.claimed(now, in)
 	case Tick:
-		a.tick(now)
+		c.tick(now)
 	case Cancel:
-		a.giveUp(now, ReasonCancelled)
+		c.abandon(now, ReasonCancelled)
 	default:
-		a.streamInput(now, in)
+		c.streamInput(now, in)
 	}
-	return a.out
+	return c.actions
 }
 
-// NextTick returns when the next Tick is due.
-func (a *Coordinator) NextTick() time.Time {
-	if a.phase == phaseRefusing {
-		return a.control.since.Add(a.cfg.ReplyTimeout)
+// NextTick returns the time at which the next Tick is due.
+func (c *Coordinator) NextTick() time.Time {
+	if c.phase == phaseFencing {
+		return c.keyCall.startedAt.Add(c.cfg.ReplyTimeout)
 	}
-	wake := a.cfg.Deadline
-	if a.phase == phaseClaiming {
-		wake = earlier(wake, a.control.since.Add(a.cfg.ReplyTimeout))
+	next := c.cfg.Deadline
+	if c.phase == phaseClaiming {
+		next = earliest(next, c.keyCall.startedAt.Add(c.cfg.ReplyTimeout))
 	}
-	for i := range a.streams {
-		s := &a.streams[i]
-		wake = earlier(wake, s.active.Add(a.patience(s)))
-		if a.mayHedge() {
-			wake = earlier(wake, s.active.Add(a.cfg.HedgeAfter))
+	for i := range c.streams {
+		s := &c.streams[i]
+		next = earliest(next, s.lastActive.Add(c.inactivityTimeout(s)))
+		if c.canHedge() {
+			next = earliest(next, s.lastActive.Add(c.cfg.HedgeAfter))
 		}
 	}
-	return wake
+	return next
 }
 
-func earlier(a, b time.Time) time.Time {
+func earliest(a, b time.Time) time.Time {
 	if b.Before(a) {
 		return b
 	}
 	return a
 }
 
-func (a *Coordinator) emit(act Action) { a.out = append(a.out, act) }
+func (c *Coordinator) emit(act Action) { c.actions = append(c.actions, act) }
 
-func (a *Coordinator) nextNum() uint32 {
-	a.lastNum++
-	return a.lastNum
+func (c *Coordinator) nextStreamNum() uint32 {
+	c.lastNum++
+	return c.lastNum
 }
 
-func (a *Coordinator) route() {
-	a.phase = phaseRouting
-	a.emit(Route{Exclude: slices.Clone(a.tried)})
+func (c *Coordinator) route() {
+	c.phase = phaseRouting
+	c.emit(Route{Exclude: slices.Clone(c.triedServers)})
 }
 
-func (a *Coordinator) routed(now time.Time, in Routed) {
-	if a.phase != phaseRouting {
+func (c *Coordinator) routed(now time.Time, in Routed) {
+	if c.phase != phaseRouting {
 		return
 	}
-	if !now.Before(a.cfg.Deadline) {
-		a.giveUp(now, ReasonDeadline)
+	if !now.Before(c.cfg.Deadline) {
+		c.abandon(now, ReasonDeadline)
 		return
 	}
-	a.current = Assignment(in)
-	if a.cfg.Key != "" && !a.cfg.Repeatable {
-		a.claim(now)
+	c.current = Assignment(in)
+	if c.cfg.Key != "" && !c.cfg.Repeatable {
+		c.sendClaim(now)
 		return
 	}
-	a.send(now)
+	c.send(now)
 }
 
-func (a *Coordinator) claim(now time.Time) {
-	a.phase = phaseClaiming
-	a.control.num = a.nextNum()
-	a.control.since = now
-	a.emit(Claim{
-		Stream: a.control.num, ID: a.current.ID, Target: a.current.Target,
-		Replaces: a.fenced, Age: now.Sub(a.received),
+func (c *Coordinator) sendClaim(now time.Time) {
+	c.phase = phaseClaiming
+	c.keyCall.streamNum = c.nextStreamNum()
+	c.keyCall.startedAt = now
+	c.emit(Claim{
+		Stream: c.keyCall.streamNum, ID: c.current.ID, Target: c.current.Target,
+		Replaces: c.fencedID, Age: now.Sub(c.receivedAt),
 	})
 }
 
-func (a *Coordinator) claimed(now time.Time, in Claimed) {
-	if in.Stream != a.control.num {
+func (c *Coordinator) claimed(now time.Time, in Claimed) {
+	if in.Stream != c.keyCall.streamNum {
 		return
 	}
-	switch a.phase {
-	case phaseRefusing:
-		a.refused(now, in)
+	switch c.phase {
+	case phaseFencing:
+		c.handleFenceStatus(now, in)
 	case phaseClaiming:
-		a.grantOrNot(now, in)
+		c.handleClaimStatus(now, in)
 	default:
 	}
 }
 
-func (a *Coordinator) grantOrNot(now time.Time, in Claimed) {
+func (c *Coordinator) handleClaimStatus(now time.Time, in Claimed) {
 	switch in.Status {
 	case ClaimGranted:
-		a.fenced = a.current.ID
-		if now.Sub(a.control.since) >= GrantTimeout {
-			a.claim(now)
+		c.fencedID = c.current.ID
+		if now.Sub(c.keyCall.startedAt) >= GrantTimeout {
+			c.sendClaim(now)
 			return
 		}
-		a.send(now)
+		c.send(now)
 	case ClaimExists:
-		a.adopt(now, in.Owner)
+		c.adoptOwner(now, in.Owner)
 	case ClaimMismatch:
-		a.finish(Result{Outcome: NotRun, Reason: ReasonKeyReused})
+		c.finish(Result{Outcome: NotRun, Reason: ReasonKeyReused})
 	case ClaimFenced:
-		a.finish(Result{Outcome: NotRun, Reason: ReasonOverload, RetryAfter: in.RetryAfter})
+		c.finish(Result{Outcome: NotRun, Reason: ReasonOverload, RetryAfter: in.RetryAfter})
 	case ClaimTooOld:
-		a.finish(Result{Outcome: Unknown, Reason: ReasonKeyTooOld})
+		c.finish(Result{Outcome: Unknown, Reason: ReasonKeyTooOld})
 	case ClaimInvalid:
-		a.finish(Result{Outcome: NotRun, Reason: ReasonKeyInvalid})
+		c.finish(Result{Outcome: NotRun, Reason: ReasonKeyInvalid})
 	default:
-		// Asked again when its time is over: the view may have moved by then.
+		// The claim is sent again after ReplyTimeout, when the view may be newer.
 	}
 }
 
-// adopt turns to the attempt of an earlier send that holds the key.
-func (a *Coordinator) adopt(now time.Time, h Assignment) {
-	a.current = h
-	a.foreign = true
-	a.settle(now, h)
+// adoptOwner continues with the attempt of an earlier request that owns the key.
+func (c *Coordinator) adoptOwner(now time.Time, a Assignment) {
+	c.current = a
+	c.isAdopted = true
+	c.settle(now, a)
 }
 
-func (a *Coordinator) send(now time.Time) {
-	if !now.Before(a.cfg.Deadline) {
-		a.giveUp(now, ReasonDeadline)
+func (c *Coordinator) send(now time.Time) {
+	if !now.Before(c.cfg.Deadline) {
+		c.abandon(now, ReasonDeadline)
 		return
 	}
-	a.foreign = false
-	a.sends++
-	a.tried = append(a.tried, a.current.Target.Server)
-	s := a.open(now, kindSend, a.current)
-	a.emit(Send{
+	c.isAdopted = false
+	c.sendCount++
+	c.triedServers = append(c.triedServers, c.current.Target.Server)
+	s := c.openStream(now, kindSend, c.current)
+	c.emit(Send{
 		Stream: s.num, ID: s.id, Target: s.target,
-		Offset: a.answer.passed, Validator: a.answer.validator,
+		Offset: c.delivery.offset, Validator: c.delivery.validator,
 	})
 }
 
-func (a *Coordinator) settle(now time.Time, h Assignment) {
-	s := a.open(now, kindSettle, h)
-	a.emit(Settle{Stream: s.num, ID: s.id, Target: s.target})
+func (c *Coordinator) settle(now time.Time, a Assignment) {
+	s := c.openStream(now, kindSettle, a)
+	c.emit(Settle{Stream: s.num, ID: s.id, Target: s.target})
 }
 
-func (a *Coordinator) fetch(now time.Time, h Assignment) {
-	a.fetches++
-	s := a.open(now, kindFetch, h)
-	a.emit(Fetch{Stream: s.num, ID: s.id, Target: s.target, Offset: a.answer.passed})
+func (c *Coordinator) fetch(now time.Time, a Assignment) {
+	c.fetchCount++
+	s := c.openStream(now, kindFetch, a)
+	c.emit(Fetch{Stream: s.num, ID: s.id, Target: s.target, Offset: c.delivery.offset})
 }
 
-func (a *Coordinator) open(now time.Time, kind streamKind, h Assignment) *stream {
-	a.phase = phaseWaiting
-	a.streams = append(a.streams, stream{
-		num: a.nextNum(), kind: kind, id: h.ID, target: h.Target, active: now,
+func (c *Coordinator) openStream(now time.Time, kind streamKind, a Assignment) *stream {
+	c.phase = phaseWaiting
+	c.streams = append(c.streams, stream{
+		num: c.nextStreamNum(), kind: kind, id: a.ID, target: a.Target, lastActive: now,
 	})
-	return &a.streams[len(a.streams)-1]
+	return &c.streams[len(c.streams)-1]
 }
 
-func (a *Coordinator) find(num uint32) *stream {
-	for i := range a.streams {
-		if a.streams[i].num == num {
-			return &a.streams[i]
+func (c *Coordinator) findStream(num uint32) *stream {
+	for i := range c.streams {
+		if c.streams[i].num == num {
+			return &c.streams[i]
 		}
 	}
 	return nil
 }
 
-func (a *Coordinator) has(id ID, kind streamKind) bool {
-	return slices.ContainsFunc(a.streams, func(s stream) bool { return s.id == id && s.kind == kind })
+func (c *Coordinator) hasStream(id ID, kind streamKind) bool {
+	return slices.ContainsFunc(c.streams, func(s stream) bool { return s.id == id && s.kind == kind })
 }
 
-// forget removes a stream that has ended.
-func (a *Coordinator) forget(num uint32) {
-	a.streams = slices.DeleteFunc(a.streams, func(s stream) bool { return s.num == num })
+// removeStream removes a stream that has ended.
+func (c *Coordinator) removeStream(num uint32) {
+	c.streams = slices.DeleteFunc(c.streams, func(s stream) bool { return s.num == num })
 }
 
-// drop ends a stream and removes it.
-func (a *Coordinator) drop(s stream) {
-	a.forget(s.num)
-	a.emit(Stop{Stream: s.num, Cancel: s.kind == kindSend && a.cfg.Repeatable})
+// closeStream removes a stream and emits its Stop.
+func (c *Coordinator) closeStream(s stream) {
+	c.removeStream(s.num)
+	c.emit(Stop{Stream: s.num, Cancel: s.kind == kindSend && c.cfg.Repeatable})
 }
 
-func (a *Coordinator) finish(r Result) {
-	gone := r.Reason == ReasonCancelled || r.Reason == ReasonDeadline
-	for _, s := range a.streams {
-		a.emit(Stop{Stream: s.num, Cancel: s.kind == kindSend && (gone || a.cfg.Repeatable)})
+func (c *Coordinator) finish(r Result) {
+	abandoned := r.Reason == ReasonCancelled || r.Reason == ReasonDeadline
+	for _, s := range c.streams {
+		c.emit(Stop{Stream: s.num, Cancel: s.kind == kindSend && (abandoned || c.cfg.Repeatable)})
 	}
-	a.streams = nil
-	r.Abort = a.answer.begun && r.Outcome != Answered
-	a.result = r
-	a.phase = phaseFinished
-	a.emit(Finish{Result: r})
+	c.streams = nil
+	r.Abort = c.delivery.started && r.Outcome != Answered
+	c.result = r
+	c.phase = phaseFinished
+	c.emit(Finish{Result: r})
 }
--- a/core/attempt/attempt_test.go
+++ b/core/attempt/attempt_test.go
@@ -15,94 +15,94 @@
 
 func testID(n uint64) ID { return ID{Gateway: "g", Run: 1, Sequence: n} }
 
-// step is an input after a pause. Its stream is filled in with the latest.
+// step is an input after a delay. It applies to the latest stream.
 type step struct {
 	after time.Duration
 	in    Input
 }
 
-// script drives an attempt: it answers Route with a, then b, then nothing, and
-// fills the number of the latest stream into inputs.
-type script struct {
-	a      *Coordinator
-	now    time.Time
-	stream uint32
-	id     ID
-	routes int
-	sends  []string
-	last   string
-	result *Result
+// harness drives a Coordinator: it replies to Route with server a, then b, then
+// Unroutable, and sets the latest stream in inputs.
+type harness struct {
+	coordinator *Coordinator
+	now         time.Time
+	stream      uint32
+	id          ID
+	routeCount  int
+	servers     []string
+	lastAction  string
+	result      *Result
 }
 
-func (s *script) feed(in Input) {
-	acts := append([]Action(nil), s.a.Step(s.now, in)...)
+func (h *harness) feed(in Input) {
+	acts := append([]Action(nil), h.coordinator.Step(h.now, in)...)
 	for _, act := range acts {
 		switch act := act.(type) {
 		case Route:
-			s.routes++
+			h.routeCount++
 			targets := []Target{ta, tb}
-			if s.routes > len(targets) {
-				s.feed(Unroutable{Reason: ReasonNoServer})
+			if h.routeCount > len(targets) {
+				h.feed(Unroutable{Reason: ReasonNoServer})
 				continue
 			}
-			s.feed(Routed{ID: testID(uint64(s.routes)), Target: targets[s.routes-1]})
+			h.feed(Routed{ID: testID(uint64(h.routeCount)), Target: targets[h.routeCount-1]})
 		case Send:
-			s.stream, s.id, s.last = act.Stream, act.ID, "send"
-			s.sends = append(s.sends, act.Target.Server)
+			h.stream, h.id, h.lastAction = act.Stream, act.ID, "send"
+			h.servers = append(h.servers, act.Target.Server)
 		case Settle:
-			s.stream, s.id, s.last = act.Stream, act.ID, "settle"
+			h.stream, h.id, h.lastAction = act.Stream, act.ID, "settle"
 		case Fetch:
-			s.stream, s.id, s.last = act.Stream, act.ID, "fetch"
+			h.stream, h.id, h.lastAction = act.Stream, act.ID, "fetch"
 		case Claim:
-			s.stream, s.last = act.Stream, "claim"
+			h.stream, h.lastAction = act.Stream, "claim"
 		case FenceKey:
-			s.stream, s.last = act.Stream, "refuse"
+			h.stream, h.lastAction = act.Stream, "fence"
 		case Finish:
-			s.result = &act.Result
+			h.result = &act.Result
 		}
 	}
 }
 
-// on fills the live stream and ID into in.
-func (s *script) on(in Input) Input {
+// withStream returns in for the latest stream and its ID.
+func (h *harness) withStream(in Input) Input {
 	switch in := in.(type) {
 	case Claimed:
-		in.Stream = s.stream
+		in.Stream = h.stream
 		return in
 	case NotSent:
-		return NotSent{s.stream}
+		return NotSent{h.stream}
 	case Rejected:
-		in.Stream = s.stream
+		in.Stream = h.stream
 		return in
 	case Head:
-		in.Stream = s.stream
+		in.Stream = h.stream
 		if in.ID.IsZero() {
-			in.ID = s.id
+			in.ID = h.id
 		}
 		return in
 	case Body:
-		in.Stream = s.stream
+		in.Stream = h.stream
 		return in
 	case End:
-		in.Stream = s.stream
+		in.Stream = h.stream
 		return in
 	case Reset:
-		return Reset{s.stream}
+		return Reset{h.stream}
 	case Settled:
-		in.Stream = s.stream
+		in.Stream = h.stream
 		return in
 	}
 	return in
 }
 
-func TestFaultTable(t *testing.T) {
-	const silence, stall, answer, deadline = time.Second, time.Second, time.Second, 20 * time.Second
-	whole := []step{{0, Head{Length: 4}}, {0, Body{N: 4}}, {0, End{Total: 4}}}
-	tagged := Head{Length: 4, Validator: "v"}
+func TestOutcomesOfFaults(t *testing.T) {
+	const settleAfter, stallTimeout, replyTimeout, deadline = time.Second, time.Second, time.Second, 20 * time.Second
+	complete := []step{{0, Head{Length: 4}}, {0, Body{N: 4}}, {0, End{Total: 4}}}
+	withValidator := Head{Length: 4, Validator: "v"}
 	resumed := Head{Length: 4, Validator: "v", Offset: 2}
 	fetched := []step{{0, Settled{State: StateDone, HasResponse: true}}}
 	tick := Tick{}
-	cat := func(s ...[]step) (out []step) {
+	concat := func(s ...[]step) (out []step) {
 		for _, x := range s {
 			out = append(out, x...)
 		}
@@ -117,97 +117,97 @@
 		sends      string
 	}{
 		// The request is lost.
-		{"never sent, then elsewhere", "", false, cat([]step{{0, NotSent{}}}, whole), Result{Outcome: Answered}, "ab"},
-		{"never sent anywhere", "", false, []step{{0, NotSent{}}, {0, NotSent{}}}, Result{Outcome: NotRun, Reason: ReasonNoServer}, "ab"},
-		{"lost silently, fenced, elsewhere", "", false, cat([]step{{silence, tick}, {0, Settled{State: StateFenced}}}, whole), Result{Outcome: Answered}, "ab"},
-		{"lost, agent cut off for good", "", false, []step{{silence, tick}, {answer, tick}, {deadline, tick}}, Result{Outcome: Unknown, Reason: ReasonDeadline}, "a"},
-		{"repeatable, lost, agent cut off", "", true, cat([]step{{silence, tick}, {answer, tick}}, whole), Result{Outcome: Answered}, "ab"},
-		{"repeatable, reset", "", true, cat([]step{{0, Reset{}}}, whole), Result{Outcome: Answered}, "ab"},
-		{"repeatable, all lost", "", true, []step{{0, Reset{}}, {0, Reset{}}}, Result{Outcome: Unknown, Reason: ReasonNoServer}, "ab"},
-		// The answer is lost, late, crossed or cut.
-		{"answer lost, fetched", "", false, cat([]step{{silence, tick}}, fetched, whole), Result{Outcome: Answered}, "a"},
-		{"connection reset, still running, fetched later", "", false, cat([]step{{0, Reset{}}, {0, Settled{State: StateRunning}}, {answer, tick}}, fetched, whole), Result{Outcome: Answered}, "a"},
-		{"answer lost and not held", "", false, []step{{0, Reset{}}, {0, Settled{State: StateDone}}}, Result{Outcome: Unknown, Reason: ReasonResponseDropped}, "a"},
-		{"cut, rest fetched", "", false, cat([]step{{0, Head{Length: 4}}, {0, Body{N: 2}}, {0, Reset{}}}, fetched, []step{{0, Head{Length: 4, Offset: 2}}, {0, Body{N: 2}}, {0, End{Total: 4}}}), Result{Outcome: Answered}, "a"},
+		{"not sent, retried at another server", "", false, concat([]step{{0, NotSent{}}}, complete), Result{Outcome: Answered}, "ab"},
+		{"not sent to any server", "", false, []step{{0, NotSent{}}, {0, NotSent{}}}, Result{Outcome: NotRun, Reason: ReasonNoServer}, "ab"},
+		{"no response, fenced, retried at another server", "", false, concat([]step{{settleAfter, tick}, {0, Settled{State: StateFenced}}}, complete), Result{Outcome: Answered}, "ab"},
+		{"no response, agent unreachable until the deadline", "", false, []step{{settleAfter, tick}, {replyTimeout, tick}, {deadline, tick}}, Result{Outcome: Unknown, Reason: ReasonDeadline}, "a"},
+		{"repeatable, no response, agent unreachable, retried", "", true, concat([]step{{settleAfter, tick}, {replyTimeout, tick}}, complete), Result{Outcome: Answered}, "ab"},
+		{"repeatable, reset, retried", "", true, concat([]step{{0, Reset{}}}, complete), Result{Outcome: Answered}, "ab"},
+		{"repeatable, every send reset", "", true, []step{{0, Reset{}}, {0, Reset{}}}, Result{Outcome: Unknown, Reason: ReasonNoServer}, "ab"},
+		// The response is lost, late, broken or of another attempt.
+		{"response lost, fetched", "", false, concat([]step{{settleAfter, tick}}, fetched, complete), Result{Outcome: Answered}, "a"},
+		{"connection reset, still running, fetched later", "", false, concat([]step{{0, Reset{}}, {0, Settled{State: StateRunning}}, {replyTimeout, tick}}, fetched, complete), Result{Outcome: Answered}, "a"},
+		{"response lost and not stored", "", false, []step{{0, Reset{}}, {0, Settled{State: StateDone}}}, Result{Outcome: Unknown, Reason: ReasonResponseDropped}, "a"},
+		{"response broken, rest fetched", "", false, concat([]step{{0, Head{Length: 4}}, {0, Body{N: 2}}, {0, Reset{}}}, fetched, []step{{0, Head{Length: 4, Offset: 2}}, {0, Body{N: 2}}, {0, End{Total: 4}}}), Result{Outcome: Answered}, "a"},
 		{"end before the length is reached", "", true, []step{{0, Head{Length: 4}}, {0, Body{N: 2}}, {0, End{Total: 2}}}, Result{Outcome: Unknown, Reason: ReasonAgentLost, Abort: true}, "a"},
 		{"end without the last bytes", "", true, []step{{0, Head{Length: -1}}, {0, Body{N: 2}}, {0, End{Total: 4}}}, Result{Outcome: Unknown, Reason: ReasonAgentLost, Abort: true}, "a"},
-		{"more than the length", "", true, []step{{0, Head{Length: 1}}, {0, Body{N: 2}}}, Result{Outcome: Unknown, Reason: ReasonTruncated, Abort: true}, "a"},
-		{"stalled, resumed elsewhere", "", true, []step{{0, tagged}, {0, Body{N: 2}}, {stall, tick}, {0, resumed}, {0, Body{N: 2}}, {0, End{Total: 4}}}, Result{Outcome: Answered}, "ab"},
-		{"stalled, other version elsewhere", "", true, []step{{0, tagged}, {0, Body{N: 2}}, {stall, tick}, {0, Head{Length: 4, Validator: "w", Offset: 2}}}, Result{Outcome: Unknown, Reason: ReasonNoServer, Abort: true}, "ab"},
-		{"slow caller is not a stall", "", true, []step{{0, Head{Length: 4}}, {stall / 2, Body{}}, {stall / 2, tick}, {0, Body{N: 4}}, {0, End{Total: 4}}}, Result{Outcome: Answered}, "a"},
-		{"crossed answer dropped", "", false, cat([]step{{0, Head{Length: 9, ID: testID(77)}}}, fetched, whole), Result{Outcome: Answered}, "a"},
-		// The agent refuses, restarts or forgets.
-		{"shed, elsewhere", "", false, cat([]step{{0, Rejected{State: StateFenced}}}, whole), Result{Outcome: Answered}, "ab"},
-		{"shed everywhere", "", false, []step{{0, Rejected{State: StateFenced}}, {0, Rejected{State: StateFenced, RetryAfter: 5}}}, Result{Outcome: NotRun, Reason: ReasonNoServer}, "ab"},
-		{"shed here, lost there", "", false, []step{{0, Rejected{State: StateFenced}}, {0, Reset{}}, {0, Settled{}}}, Result{Outcome: Unknown, Reason: ReasonAgentLost}, "ab"},
+		{"body longer than its length", "", true, []step{{0, Head{Length: 1}}, {0, Body{N: 2}}}, Result{Outcome: Unknown, Reason: ReasonTruncated, Abort: true}, "a"},
+		{"stalled, resumed at another server", "", true, []step{{0, withValidator}, {0, Body{N: 2}}, {stallTimeout, tick}, {0, resumed}, {0, Body{N: 2}}, {0, End{Total: 4}}}, Result{Outcome: Answered}, "ab"},
+		{"stalled, other version at another server", "", true, []step{{0, withValidator}, {0, Body{N: 2}}, {stallTimeout, tick}, {0, Head{Length: 4, Validator: "w", Offset: 2}}}, Result{Outcome: Unknown, Reason: ReasonNoServer, Abort: true}, "ab"},
+		{"slow caller does not count as a stall", "", true, []step{{0, Head{Length: 4}}, {stallTimeout / 2, Body{}}, {stallTimeout / 2, tick}, {0, Body{N: 4}}, {0, End{Total: 4}}}, Result{Outcome: Answered}, "a"},
+		{"response of another attempt ignored", "", false, concat([]step{{0, Head{Length: 9, ID: testID(77)}}}, fetched, complete), Result{Outcome: Answered}, "a"},
+		// The agent rejects the request or restarts.
+		{"rejected, retried at another server", "", false, concat([]step{{0, Rejected{State: StateFenced}}}, complete), Result{Outcome: Answered}, "ab"},
+		{"rejected by every server", "", false, []step{{0, Rejected{State: StateFenced}}, {0, Rejected{State: StateFenced, RetryAfter: 5}}}, Result{Outcome: NotRun, Reason: ReasonNoServer}, "ab"},
+		{"rejected by one server, lost at the other", "", false, []step{{0, Rejected{State: StateFenced}}, {0, Reset{}}, {0, Settled{}}}, Result{Outcome: Unknown, Reason: ReasonAgentLost}, "ab"},
 		{"agent restarted before the send", "", false, []step{{0, Rejected{}}}, Result{Outcome: Unknown, Reason: ReasonAgentLost}, "a"},
-		{"agent restarted midway", "", false, []step{{0, Reset{}}, {0, Settled{State: StateUnknown}}}, Result{Outcome: Unknown, Reason: ReasonAgentLost}, "a"},
-		// The caller goes or the deadline passes.
+		{"agent restarted during the request", "", false, []step{{0, Reset{}}, {0, Settled{State: StateUnknown}}}, Result{Outcome: Unknown, Reason: ReasonAgentLost}, "a"},
+		// The caller disconnects or the deadline passes.
 		{"cancelled", "", false, []step{{0, Cancel{}}}, Result{Outcome: Unknown, Reason: ReasonCancelled}, "a"},
-		{"deadline in the body", "", true, []step{{0, Head{Length: 4}}, {deadline, tick}}, Result{Outcome: Unknown, Reason: ReasonDeadline, Abort: true}, "a"},
-		// Keys.
-		{"claimed", "k", false, cat([]step{{0, Claimed{Status: ClaimGranted}}}, whole), Result{Outcome: Answered}, "a"},
-		{"claim lost, asked again", "k", false, cat([]step{{answer, tick}, {0, Claimed{Status: ClaimGranted}}}, whole), Result{Outcome: Answered}, "a"},
-		{"grant too late to use, then held back", "k", false, []step{{GrantTimeout, Claimed{Status: ClaimGranted}}, {0, Claimed{Status: ClaimFenced}}}, Result{Outcome: NotRun, Reason: ReasonOverload}, ""},
-		{"first answer again", "k", false, cat([]step{{0, Claimed{Status: ClaimExists, Owner: Assignment{testID(9), tb}}}}, fetched, whole), Result{Outcome: Answered}, ""},
-		{"first send still running", "k", false, []step{{0, Claimed{Status: ClaimExists, Owner: Assignment{testID(9), tb}}}, {0, Settled{State: StateRunning}}, {deadline, tick}}, Result{Outcome: Unknown, Reason: ReasonStillRunning}, ""},
-		{"first send's agent gone", "k", false, []step{{0, Claimed{Status: ClaimExists, Owner: Assignment{testID(9), tb}}}, {0, Settled{}}}, Result{Outcome: Unknown, Reason: ReasonAgentLost}, ""},
-		{"first send never ran", "k", false, cat([]step{{0, Claimed{Status: ClaimExists, Owner: Assignment{testID(9), tb}}}, {0, Settled{State: StateFenced}}, {0, Claimed{Status: ClaimGranted}}}, whole), Result{Outcome: Answered}, "b"},
-		{"holders gone", "k", false, []step{{0, Claimed{}}, {deadline, tick}}, Result{Outcome: Unknown, Reason: ReasonKeyUnavailable}, ""},
-		{"key of another request", "k", false, []step{{0, Claimed{Status: ClaimMismatch}}}, Result{Outcome: NotRun, Reason: ReasonKeyReused}, ""},
-		{"shed, said for the key", "k", false, []step{{0, Claimed{Status: ClaimGranted}}, {0, Rejected{State: StateFenced}}, {0, Claimed{Status: ClaimGranted}}, {0, Rejected{State: StateFenced}}, {0, Claimed{Status: ClaimFenced, RetryAfter: 7}}}, Result{Outcome: NotRun, Reason: ReasonNoServer, RetryAfter: 7}, "ab"},
-		{"shed, key not told", "k", false, []step{{0, Claimed{Status: ClaimGranted}}, {0, NotSent{}}, {0, Claimed{Status: ClaimGranted}}, {0, NotSent{}}, {answer, tick}}, Result{Outcome: Unknown, Reason: ReasonKeyUnavailable}, "ab"},
-		{"shed, but an earlier send holds the key", "k", false, cat([]step{{0, Claimed{Status: ClaimGranted}}, {0, NotSent{}}, {0, Claimed{Status: ClaimGranted}}, {0, NotSent{}}, {0, Claimed{Status: ClaimExists, Owner: Assignment{testID(9), tb}}}}, fetched, whole), Result{Outcome: Answered}, "ab"},
+		{"deadline during the body", "", true, []step{{0, Head{Length: 4}}, {deadline, tick}}, Result{Outcome: Unknown, Reason: ReasonDeadline, Abort: true}, "a"},
+		// Requests with a key.
+		{"claimed", "k", false, concat([]step{{0, Claimed{Status: ClaimGranted}}}, complete), Result{Outcome: Answered}, "a"},
+		{"claim lost, sent again", "k", false, concat([]step{{replyTimeout, tick}, {0, Claimed{Status: ClaimGranted}}}, complete), Result{Outcome: Answered}, "a"},
+		{"late grant ignored, then fenced", "k", false, []step{{GrantTimeout, Claimed{Status: ClaimGranted}}, {0, Claimed{Status: ClaimFenced}}}, Result{Outcome: NotRun, Reason: ReasonOverload}, ""},
+		{"response of the first request fetched", "k", false, concat([]step{{0, Claimed{Status: ClaimExists, Owner: Assignment{testID(9), tb}}}}, fetched, complete), Result{Outcome: Answered}, ""},
+		{"first request still running", "k", false, []step{{0, Claimed{Status: ClaimExists, Owner: Assignment{testID(9), tb}}}, {0, Settled{State: StateRunning}}, {deadline, tick}}, Result{Outcome: Unknown, Reason: ReasonStillRunning}, ""},
+		{"agent of the first request lost", "k", false, []step{{0, Claimed{Status: ClaimExists, Owner: Assignment{testID(9), tb}}}, {0, Settled{}}}, Result{Outcome: Unknown, Reason: ReasonAgentLost}, ""},
+		{"first request fenced", "k", false, concat([]step{{0, Claimed{Status: ClaimExists, Owner: Assignment{testID(9), tb}}}, {0, Settled{State: StateFenced}}, {0, Claimed{Status: ClaimGranted}}}, complete), Result{Outcome: Answered}, "b"},
+		{"replicas unavailable", "k", false, []step{{0, Claimed{}}, {deadline, tick}}, Result{Outcome: Unknown, Reason: ReasonKeyUnavailable}, ""},
+		{"key used for another request", "k", false, []step{{0, Claimed{Status: ClaimMismatch}}}, Result{Outcome: NotRun, Reason: ReasonKeyReused}, ""},
+		{"rejected by every server, key fenced", "k", false, []step{{0, Claimed{Status: ClaimGranted}}, {0, Rejected{State: StateFenced}}, {0, Claimed{Status: ClaimGranted}}, {0, Rejected{State: StateFenced}}, {0, Claimed{Status: ClaimFenced, RetryAfter: 7}}}, Result{Outcome: NotRun, Reason: ReasonNoServer, RetryAfter: 7}, "ab"},
+		{"not sent, fence without reply", "k", false, []step{{0, Claimed{Status: ClaimGranted}}, {0, NotSent{}}, {0, Claimed{Status: ClaimGranted}}, {0, NotSent{}}, {replyTimeout, tick}}, Result{Outcome: Unknown, Reason: ReasonKeyUnavailable}, "ab"},
+		{"not sent, key owned by an earlier request", "k", false, concat([]step{{0, Claimed{Status: ClaimGranted}}, {0, NotSent{}}, {0, Claimed{Status: ClaimGranted}}, {0, NotSent{}}, {0, Claimed{Status: ClaimExists, Owner: Assignment{testID(9), tb}}}}, fetched, complete), Result{Outcome: Answered}, "ab"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			s := &script{now: t0, a: New(Config{
+			h := &harness{now: t0, coordinator: New(Config{
 				Key: tt.key, Repeatable: tt.repeatable, Deadline: t0.Add(deadline),
-				SettleAfter: silence, StallTimeout: stall, ReplyTimeout: answer, MaxSends: 3, Retries: always{},
+				SettleAfter: settleAfter, StallTimeout: stallTimeout, ReplyTimeout: replyTimeout, MaxSends: 3, Retries: unlimitedRetries{},
 			})}
-			s.feed(Start{})
+			h.feed(Start{})
 			for i, st := range tt.steps {
-				if s.result != nil {
-					t.Fatalf("ended before step %d: %+v", i, *s.result)
+				if h.result != nil {
+					t.Fatalf("ended before step %d: %+v", i, *h.result)
 				}
-				s.now = s.now.Add(st.after)
-				s.feed(s.on(st.in))
+				h.now = h.now.Add(st.after)
+				h.feed(h.withStream(st.in))
 			}
-			is.True(s.result != nil)
-			is.Equal(*s.result, tt.want)
+			is.True(h.result != nil)
+			is.Equal(*h.result, tt.want)
 			sends := ""
-			for _, name := range s.sends {
+			for _, name := range h.servers {
 				sends += name
 			}
 			is.Equal(sends, tt.sends)
-			is.Equal(len(s.a.Step(s.now, Head{Stream: s.stream})), 0) // late input is dropped
+			is.Equal(len(h.coordinator.Step(h.now, Head{Stream: h.stream})), 0) // input after the end is ignored
 		})
 	}
 }
 
-func TestHedgeTakesFirstHead(t *testing.T) {
+func TestFirstResponseHeadStopsOtherHedgeCopy(t *testing.T) {
 	is := is.New(t)
 	budget := NewBudget(0.5, 10)
 	budget.Deposit()
 	budget.Deposit()
-	s := &script{now: t0, a: New(Config{
+	h := &harness{now: t0, coordinator: New(Config{
 		Repeatable: true, Deadline: t0.Add(time.Minute), SettleAfter: time.Second, StallTimeout: time.Second,
 		ReplyTimeout: time.Second, HedgeAfter: 100 * time.Millisecond, MaxSends: 3, Retries: budget,
 	})}
-	s.feed(Start{})
-	first := s.stream
-	is.Equal(s.a.NextTick(), t0.Add(100*time.Millisecond))
-	s.now = s.a.NextTick()
-	s.feed(Tick{})
-	is.Equal(len(s.sends), 2)
-	acts := s.a.Step(s.now, Head{Stream: first, ID: testID(1), Length: 0})
-	is.Equal(acts, []Action{Stop{Stream: s.stream, Cancel: true}, Pass{Stream: first}})
-	s.feed(End{Stream: first})
-	is.Equal(s.result.Outcome, Answered)
+	h.feed(Start{})
+	first := h.stream
+	is.Equal(h.coordinator.NextTick(), t0.Add(100*time.Millisecond))
+	h.now = h.coordinator.NextTick()
+	h.feed(Tick{})
+	is.Equal(len(h.servers), 2)
+	acts := h.coordinator.Step(h.now, Head{Stream: first, ID: testID(1), Length: 0})
+	is.Equal(acts, []Action{Stop{Stream: h.stream, Cancel: true}, Pass{Stream: first}})
+	h.feed(End{Stream: first})
+	is.Equal(h.result.Outcome, Answered)
 }
 
-func TestBudgetBoundsFurtherSends(t *testing.T) {
+func TestBudgetBoundsRetries(t *testing.T) {
 	is := is.New(t)
 	b := NewBudget(0.1, 50)
 	sends := 0
--- a/core/attempt/budget.go
+++ b/core/attempt/budget.go
@@ -1,37 +1,37 @@
 package attempt
 
-// RetryLimiter grants or denies one more send of a request. Budget implements it.
+// RetryLimiter grants or denies a further send of a request. Budget implements it.
 type RetryLimiter interface {
 	Withdraw() bool
 }
 
-// tokenUnit is one whole token in the budget's integer scale.
+// tokenUnit is one token in the integer scale of Budget.
 const tokenUnit = 1_000_000
 
-// Budget bounds the retries and hedges of a service to a share of its first
-// sends. Every first send deposits a share of a token; every further send
-// withdraws a whole one.
+// Budget is a token bucket that limits the retries and hedges of a service to a
+// ratio of its first sends. A first send deposits a fraction of a token; a
+// further send withdraws one token.
 type Budget struct {
 	deposit int64
 	limit   int64
-	held    int64
+	tokens  int64
 }
 
-// NewBudget returns a budget that lets further sends add at most ratio of the
-// first sends, and holds at most burst tokens. It starts empty, so the bound
-// holds from the first request on.
+// NewBudget returns a budget that limits further sends to ratio of the first
+// sends and stores at most burst tokens. It starts empty, so the limit applies
+// from the first request on.
 func NewBudget(ratio float64, burst int) *Budget {
 	return &Budget{deposit: int64(ratio * tokenUnit), limit: int64(burst) * tokenUnit}
 }
 
-// Deposit counts a first send.
-func (b *Budget) Deposit() { b.held = min(b.held+b.deposit, b.limit) }
+// Deposit adds the tokens of a first send.
+func (b *Budget) Deposit() { b.tokens = min(b.tokens+b.deposit, b.limit) }
 
-// Withdraw takes a token for a further send. It reports false if none is left.
+// Withdraw removes a token for a further send. It reports false if there is none.
 func (b *Budget) Withdraw() bool {
-	if b.held < tokenUnit {
+	if b.tokens < tokenUnit {
 		return false
 	}
-	b.held -= tokenUnit
+	b.tokens -= tokenUnit
 	return true
 }
--- a/core/attempt/claim.go
+++ b/core/attempt/claim.go
@@ -8,65 +8,66 @@
 	"fulmarmount.org/core/view"
 )
 
-// ClaimStatus is the home's answer to a Claim or Refuse.
+// ClaimStatus is the reply of a key's primary to a Claim or FenceKey.
 type ClaimStatus uint8
 
-// The answers of the home of a key.
+// The statuses of a claim.
 const (
-	ClaimUnavailable ClaimStatus = iota // not the home, or holders cannot be reached
-	ClaimGranted                        // the attempt holds the key
-	ClaimExists                         // another attempt holds the key
+	ClaimUnavailable ClaimStatus = iota // not the primary, or a replica cannot be reached
+	ClaimGranted                        // the attempt owns the key
+	ClaimExists                         // another attempt owns the key
 	ClaimMismatch                       // the key was used for another request
-	ClaimFenced                         // "not run" was said; earlier sends are refused
-	ClaimTooOld                         // made before the oldest records, or before the holders started
-	ClaimInvalid                        // made in the future
+	ClaimFenced                         // NotRun was returned for the key; earlier requests are rejected
+	ClaimTooOld                         // the key is older than KeyLifetime or than the replicas' history
+	ClaimInvalid                        // the time of the key is in the future
 )
 
-// UnixMillis is a time in milliseconds since the Unix epoch, as a UUID of version 7
-// holds it.
+// UnixMillis is a time in milliseconds since the Unix epoch, as in a UUID of
+// version 7.
 type UnixMillis int64
 
-// UnixMillisOf returns t in milliseconds.
+// UnixMillisOf returns t as UnixMillis.
 func UnixMillisOf(t time.Time) UnixMillis { return UnixMillis(t.UnixMilli()) }
 
 // Time returns m as a time.Time.
 func (m UnixMillis) Time() time.Time { return time.UnixMilli(int64(m)) }
 
-// Assignment is the attempt that may run for a key, and where.
+// Assignment is an attempt and the agent that it is assigned to.
 type Assignment struct {
 	ID     ID     `cbor:"1,keyasint"`
 	Target Target `cbor:"2,keyasint"`
 }
 
-// Entry is what a holder keeps about a key.
+// Entry is the state of a key at its replicas.
 type Entry struct {
 	Key string `cbor:"1,keyasint"`
-	// KeyTime is the time within the key.
+	// KeyTime is the timestamp in the key, a UUID of version 7.
 	KeyTime UnixMillis `cbor:"2,keyasint"`
 	Digest  Digest     `cbor:"3,keyasint"`
-	// Owner is zero if no attempt holds the key.
+	// Owner is the attempt that owns the key, or zero.
 	Owner Assignment `cbor:"4,keyasint"`
-	// Version is the view under which the home made the last change.
+	// Version is the view under which the primary made the last change.
 	Version view.Version `cbor:"5,keyasint"`
-	// Revision counts the changes; 0 is an entry that was never set.
+	// Revision counts the changes; an entry with revision 0 is empty.
 	Revision uint64 `cbor:"6,keyasint"`
-	// Fenced is set after a caller was told "not run".
+	// Fenced is true if NotRun was returned for the key.
 	Fenced bool `cbor:"7,keyasint"`
-	// FencedAge is the time since then, set while the entry travels.
+	// FencedAge is the time since the last fence. It is set in messages only.
 	FencedAge time.Duration `cbor:"8,keyasint"`
 }
 
-// newer reports whether e is a later change than o. A change that was never
-// granted loses to any that a newer home made.
-func (e *Entry) newer(o *Entry) bool {
+// isNewer reports whether e is a later change than o. The change of a primary
+// under a newer view overrides an earlier one that was never granted.
+func (e *Entry) isNewer(o *Entry) bool {
 	if c := e.Version.Compare(o.Version); c != 0 {
 		return c > 0
 	}
 	return e.Revision > o.Revision
 }
 
-// ClaimRequest asks the home to let Holder run, or, if Refuse is set, to hold
-// back every send that a gateway received before now.
+// ClaimRequest claims a key for Owner at the key's primary. If Fence is set, it
+// instead fences the key: the primary then rejects every request with the key
+// that a gateway has received before.
 type ClaimRequest struct {
 	Key      string        `cbor:"1,keyasint"`
 	KeyTime  UnixMillis    `cbor:"2,keyasint"`
@@ -77,27 +78,27 @@
 	Fence    bool          `cbor:"7,keyasint"`
 }
 
-// ClaimReply answers a ClaimRequest.
+// ClaimReply is the reply to a ClaimRequest.
 type ClaimReply struct {
 	Status     ClaimStatus   `cbor:"1,keyasint"`
 	Owner      Assignment    `cbor:"2,keyasint"`
 	RetryAfter time.Duration `cbor:"3,keyasint"`
 }
 
-// StoreRequest asks the second holder to keep an entry.
+// StoreRequest replicates an entry from the primary of its key to the backup.
 type StoreRequest struct {
 	Version view.Version `cbor:"1,keyasint"`
 	To      Target       `cbor:"2,keyasint"`
 	Entry   Entry        `cbor:"3,keyasint"`
 }
 
-// StoreReply answers a HoldRequest.
+// StoreReply is the reply to a StoreRequest.
 type StoreReply struct {
 	Stored bool `cbor:"1,keyasint"`
 }
 
-// LookupRequest asks an earlier holder for an entry, and keeps it from
-// accepting changes under views older than Version.
+// LookupRequest reads an entry from a replica of its key under an earlier view.
+// The replica then rejects changes under views older than Version.
 type LookupRequest struct {
 	Version view.Version `cbor:"1,keyasint"`
 	To      Target       `cbor:"2,keyasint"`
@@ -105,192 +106,196 @@
 	KeyTime UnixMillis   `cbor:"4,keyasint"`
 }
 
-// LookupReply answers a LookupRequest.
+// LookupReply is the reply to a LookupRequest.
 type LookupReply struct {
-	// Accepted is set if the answer comes from the incarnation that was asked.
+	// Accepted is true if the requested incarnation accepted the lookup. Only
+	// then does a false Found prove that it has no entry.
 	Accepted bool `cbor:"1,keyasint"`
-	// Found is set if Entry is.
+	// Found is true if Entry is set.
 	Found bool  `cbor:"2,keyasint"`
 	Entry Entry `cbor:"3,keyasint"`
 }
 
-// ClaimsConfig describes the holder of claims beside one backend server.
+// ClaimsConfig configures Claims at one agent.
 type ClaimsConfig struct {
 	Self Target
-	// KeyLifetime is how long after it was made a key can be used. Entries are
-	// kept as long.
+	// KeyLifetime is the maximum age of a key that can be used. Entries are
+	// stored at least as long.
 	KeyLifetime time.Duration
 	// MaxClockSkew bounds the difference between the clocks of callers and agents.
 	MaxClockSkew time.Duration
-	// ReplyTimeout is how long other holders may take to answer.
+	// ReplyTimeout bounds an operation that waits for other replicas.
 	ReplyTimeout time.Duration
-	// ViewLag is how long after a view was replaced some agent may still act on
-	// it. Earlier pairs are asked about keys made up to ViewLag after.
+	// ViewLag bounds the time for which some agent may still act on a view that
+	// was replaced. Lookups of keys created up to ViewLag after the replacement
+	// include the replicas under the old view.
 	ViewLag time.Duration
-	// ConfirmWithin is how old the last Confirm may be for this agent to
-	// accept changes. It must not exceed Lag; 0 asks for no confirmation, and
-	// then agents that a partition keeps on an old view for longer than Lag
-	// may let a key run that another view lets run too.
+	// ConfirmWithin is the maximum age of the last ConfirmView for this agent to
+	// accept changes. It must not exceed ViewLag. 0 requires no confirmation:
+	// then an agent that a partition leaves on an old view for longer than
+	// ViewLag may grant a key that is also granted under a newer view.
 	ConfirmWithin time.Duration
-	// MaxEntries bounds the entries that are kept.
+	// MaxEntries bounds the stored entries.
 	MaxEntries int
 }
 
 type slot struct {
 	entry Entry
-	// refusedAt is the time of the last "not run".
-	refusedAt time.Time
-	// floor is the newest view under which a home asked for the entry.
-	floor view.Version
+	// fencedAt is the time of the last fence of the key.
+	fencedAt time.Time
+	// minVersion is the newest view under which a primary changed or looked up
+	// the entry. Changes under older views are rejected.
+	minVersion view.Version
 }
 
-// pair holds the two agents that keep the claims of a key.
-type pair struct{ home, second Target }
+// replicaPair is the primary and the backup of a key.
+type replicaPair struct{ primary, backup Target }
 
-// superseded is a view that was replaced, under which claims may stand.
-type superseded struct {
-	holders *holders
-	at      time.Time
+// supersededView is a view that was replaced, under which claims may still exist.
+type supersededView struct {
+	selector   *replicaSelector
+	replacedAt time.Time
 }
 
-// Claims keeps the claims of the keys whose home or second holder is this
-// agent. A claim counts once both hold it, so either one's word that it has
-// none, given once and kept, proves that there is none.
+// Claims stores the claims of the keys whose primary or backup is this agent. A
+// claim is valid once both have stored it. An accepted lookup that finds no
+// entry at either one therefore proves that there is no claim, because that
+// agent then rejects changes under older views.
 type Claims struct {
 	cfg ClaimsConfig
-	// since is the time from which every view is in earlier or now.
-	since     time.Time
-	started   time.Time
-	confirmed time.Time
-	now       *holders
-	earlier   []superseded
-	slots     map[string]*slot
-	order     []string // keys, oldest slot first
-	ops       map[string]*op
-	// bySeq finds the operation that waits for a reply.
-	bySeq   map[uint64]*op
+	// historyStart is the time since which every view is in previous or current.
+	historyStart   time.Time
+	startedAt      time.Time
+	confirmedAt    time.Time
+	current        *replicaSelector
+	previous       []supersededView
+	slots          map[string]*slot
+	insertionOrder []string // keys in the order in which their slots were added
+	ops            map[string]*operation
+	// bySeq maps the sequence number of an open message to its operation.
+	bySeq   map[uint64]*operation
 	lastSeq uint64
-	out     []ClaimAction
+	actions []ClaimAction
 }
 
-// NewClaims returns a Claims without a view, which answers ClaimUnavailable.
+// NewClaims returns a Claims without a view, which replies ClaimUnavailable.
 func NewClaims(now time.Time, cfg ClaimsConfig) *Claims {
 	return &Claims{
-		cfg: cfg, since: now, started: now, confirmed: now,
+		cfg: cfg, historyStart: now, startedAt: now, confirmedAt: now,
 		slots: make(map[string]*slot),
-		ops:   make(map[string]*op),
-		bySeq: make(map[uint64]*op),
+		ops:   make(map[string]*operation),
+		bySeq: make(map[uint64]*operation),
 	}
 }
 
-// Len returns the number of entries that are kept.
+// Len returns the number of stored entries.
 func (c *Claims) Len() int { return len(c.slots) }
 
-// SetView adopts v if it is newer than the present view. Operations under way
-// end as unavailable.
+// SetView adopts v if it is newer than the current view. Operations in progress
+// end with ClaimUnavailable.
 func (c *Claims) SetView(now time.Time, v *view.View) []ClaimAction {
-	c.out = nil
-	if c.now != nil && !v.Version.Newer(c.now.view.Version) {
+	c.actions = nil
+	if c.current != nil && !v.Version.Newer(c.current.view.Version) {
 		return nil
 	}
-	if c.now != nil {
-		c.earlier = append(c.earlier, superseded{holders: c.now, at: now})
+	if c.current != nil {
+		c.previous = append(c.previous, supersededView{selector: c.current, replacedAt: now})
 	}
-	c.now = newHolders(v)
-	c.confirmed = now
-	for _, o := range c.pending() {
+	c.current = newReplicaSelector(v)
+	c.confirmedAt = now
+	for _, o := range c.pendingOps() {
 		c.endOp(now, o, ClaimReply{})
 	}
 	c.expire(now)
-	return c.out
+	return c.actions
 }
 
-// pending returns the operations under way in the order of their requests.
-func (c *Claims) pending() []*op {
-	ops := make([]*op, 0, len(c.ops))
+// pendingOps returns the operations in progress in the order of their requests.
+func (c *Claims) pendingOps() []*operation {
+	ops := make([]*operation, 0, len(c.ops))
 	for _, o := range c.ops {
 		ops = append(ops, o)
 	}
-	slices.SortFunc(ops, func(a, b *op) int { return cmp.Compare(a.conversation, b.conversation) })
+	slices.SortFunc(ops, func(a, b *operation) int { return cmp.Compare(a.requestID, b.requestID) })
 	return ops
 }
 
-// ConfirmView reports that the present view was found to be current.
-func (c *Claims) ConfirmView(now time.Time) { c.confirmed = now }
+// ConfirmView records that the adopted view was current at now.
+func (c *Claims) ConfirmView(now time.Time) { c.confirmedAt = now }
 
-func (c *Claims) stale(now time.Time) bool {
-	return c.cfg.ConfirmWithin > 0 && now.Sub(c.confirmed) > c.cfg.ConfirmWithin
+func (c *Claims) isStale(now time.Time) bool {
+	return c.cfg.ConfirmWithin > 0 && now.Sub(c.confirmedAt) > c.cfg.ConfirmWithin
 }
 
-// History is what a member knows about the service's views, for one that has
-// just started. Ages are relative to the time of the message.
+// History lists the service's views that a member has seen. A member that has
+// just started adopts it. Ages are relative to the time of the message.
 type History struct {
-	// Span is the age of the oldest knowledge.
+	// Span is the length of the period for which Views is complete.
 	Span  time.Duration  `cbor:"1,keyasint"`
 	Views []HistoricView `cbor:"2,keyasint"`
 }
 
-// HistoricView is a view and the time since it was replaced.
+// HistoricView is a view and the time since it was replaced, 0 for the current one.
 type HistoricView struct {
 	View *view.View    `cbor:"1,keyasint"`
 	Age  time.Duration `cbor:"2,keyasint"`
 }
 
-// History returns what this agent knows, the present view included.
+// History returns the views that this agent has seen, including the current one.
 func (c *Claims) History(now time.Time) History {
 	c.expire(now)
-	h := History{Span: now.Sub(c.since)}
-	for _, e := range c.earlier {
-		h.Views = append(h.Views, HistoricView{View: e.holders.view, Age: now.Sub(e.at)})
+	h := History{Span: now.Sub(c.historyStart)}
+	for _, e := range c.previous {
+		h.Views = append(h.Views, HistoricView{View: e.selector.view, Age: now.Sub(e.replacedAt)})
 	}
-	if c.now != nil {
-		h.Views = append(h.Views, HistoricView{View: c.now.view})
+	if c.current != nil {
+		h.Views = append(h.Views, HistoricView{View: c.current.view})
 	}
 	return h
 }
 
-// AdoptHistory takes over what another member knows. Its views must have been
-// prepared.
+// AdoptHistory adds the views of another member if its history is longer. The
+// views must be prepared, see view.View.Prepare.
 func (c *Claims) AdoptHistory(now time.Time, h History) {
 	since := now.Add(-h.Span)
-	if !since.Before(c.since) {
+	if !since.Before(c.historyStart) {
 		return
 	}
-	c.since = since
+	c.historyStart = since
 	for _, v := range h.Views {
-		c.earlier = append(c.earlier, superseded{holders: newHolders(v.View), at: now.Add(-v.Age)})
+		c.previous = append(c.previous, supersededView{selector: newReplicaSelector(v.View), replacedAt: now.Add(-v.Age)})
 	}
-	slices.SortStableFunc(c.earlier, func(a, b superseded) int { return a.at.Compare(b.at) })
+	slices.SortStableFunc(c.previous, func(a, b supersededView) int { return a.replacedAt.Compare(b.replacedAt) })
 }
 
-// expire forgets keys that are refused for their age, and views under which
-// no claim can stand.
+// expire removes keys that are rejected for their age, and views under which no
+// claim can exist.
 func (c *Claims) expire(now time.Time) {
 	n := 0
-	for n < len(c.earlier) && now.Sub(c.earlier[n].at) > c.cfg.KeyLifetime+c.cfg.ViewLag {
+	for n < len(c.previous) && now.Sub(c.previous[n].replacedAt) > c.cfg.KeyLifetime+c.cfg.ViewLag {
 		n++
 	}
-	c.earlier = c.earlier[n:]
+	c.previous = c.previous[n:]
 	n = 0
-	for n < len(c.order) && c.forgotten(now, c.slots[c.order[n]].entry.KeyTime) {
-		delete(c.slots, c.order[n])
+	for n < len(c.insertionOrder) && c.isExpired(now, c.slots[c.insertionOrder[n]].entry.KeyTime) {
+		delete(c.slots, c.insertionOrder[n])
 		n++
 	}
-	c.order = c.order[n:]
+	c.insertionOrder = c.insertionOrder[n:]
 }
 
-// old reports whether a key made at that time is refused.
-func (c *Claims) old(now time.Time, made UnixMillis) bool {
-	return now.Sub(made.Time()) > c.cfg.KeyLifetime
+// isTooOld reports whether a key with this time is rejected for its age.
+func (c *Claims) isTooOld(now time.Time, keyTime UnixMillis) bool {
+	return now.Sub(keyTime.Time()) > c.cfg.KeyLifetime
 }
 
-// forgotten reports whether entries of keys made at that time are no longer
-// kept. That is later than any agent's clock accepts the key.
-func (c *Claims) forgotten(now time.Time, made UnixMillis) bool {
-	return now.Sub(made.Time()) > c.cfg.KeyLifetime+2*c.cfg.MaxClockSkew
+// isExpired reports whether the entry of a key with this time is removed. By
+// then every agent rejects the key, whatever the skew of its clock.
+func (c *Claims) isExpired(now time.Time, keyTime UnixMillis) bool {
+	return now.Sub(keyTime.Time()) > c.cfg.KeyLifetime+2*c.cfg.MaxClockSkew
 }
 
-func (c *Claims) slot(key string, made UnixMillis) *slot {
+func (c *Claims) ensureSlot(key string, keyTime UnixMillis) *slot {
 	s := c.slots[key]
 	if s != nil {
 		return s
@@ -298,54 +303,56 @@
 	if len(c.slots) >= c.cfg.MaxEntries {
 		return nil
 	}
-	s = &slot{entry: Entry{Key: key, KeyTime: made}}
+	s = &slot{entry: Entry{Key: key, KeyTime: keyTime}}
 	c.slots[key] = s
-	c.order = append(c.order, key)
+	c.insertionOrder = append(c.insertionOrder, key)
 	return s
 }
 
-// Store keeps an entry for its home, unless a newer home has asked for it.
+// Store stores an entry at the backup of its key, unless a primary under a newer
+// view has looked it up.
 func (c *Claims) Store(now time.Time, in StoreRequest) StoreReply {
 	c.expire(now)
-	if in.To != c.cfg.Self || c.stale(now) || c.forgotten(now, in.Entry.KeyTime) {
+	if in.To != c.cfg.Self || c.isStale(now) || c.isExpired(now, in.Entry.KeyTime) {
 		return StoreReply{}
 	}
-	s := c.slot(in.Entry.Key, in.Entry.KeyTime)
-	if s == nil || s.floor.Newer(in.Version) || s.entry.newer(&in.Entry) {
+	s := c.ensureSlot(in.Entry.Key, in.Entry.KeyTime)
+	if s == nil || s.minVersion.Newer(in.Version) || s.entry.isNewer(&in.Entry) {
 		return StoreReply{}
 	}
-	s.floor = in.Version
-	s.set(now, in.Entry)
+	s.minVersion = in.Version
+	s.importEntry(now, in.Entry)
 	return StoreReply{Stored: true}
 }
 
-// Lookup answers a newer home.
+// Lookup returns the entry of a key to its primary under a newer view.
 func (c *Claims) Lookup(now time.Time, in LookupRequest) LookupReply {
 	c.expire(now)
-	if in.To != c.cfg.Self || c.forgotten(now, in.KeyTime) {
+	if in.To != c.cfg.Self || c.isExpired(now, in.KeyTime) {
 		return LookupReply{}
 	}
-	s := c.slot(in.Key, in.KeyTime)
-	if s == nil || s.floor.Newer(in.Version) {
+	s := c.ensureSlot(in.Key, in.KeyTime)
+	if s == nil || s.minVersion.Newer(in.Version) {
 		return LookupReply{}
 	}
-	s.floor = in.Version
-	return LookupReply{Accepted: true, Found: s.entry.Revision > 0, Entry: s.travel(now)}
+	s.minVersion = in.Version
+	return LookupReply{Accepted: true, Found: s.entry.Revision > 0, Entry: s.exportEntry(now)}
 }
 
-// set replaces the entry by one that travelled. The delay of the message makes
-// the refusal later than it was, which errs on the safe side.
-func (s *slot) set(now time.Time, e Entry) {
+// importEntry replaces the entry by one from a message. The delay of the message
+// sets the fence later than it was, which rejects more and is therefore safe.
+func (s *slot) importEntry(now time.Time, e Entry) {
 	if e.Fenced {
-		s.refusedAt = now.Add(-e.FencedAge)
+		s.fencedAt = now.Add(-e.FencedAge)
 	}
 	s.entry = e
 }
 
-func (s *slot) travel(now time.Time) Entry {
+// exportEntry returns the entry for a message.
+func (s *slot) exportEntry(now time.Time) Entry {
 	e := s.entry
 	if e.Fenced {
-		e.FencedAge = now.Sub(s.refusedAt)
+		e.FencedAge = now.Sub(s.fencedAt)
 	}
 	return e
 }
--- a/core/attempt/claim_test.go
+++ b/core/attempt/claim_test.go
@@ -10,7 +10,7 @@
 	"fulmarmount.org/core/view"
 )
 
-// cluster is a set of holders whose messages are delivered at once, unless
+// cluster is a set of replicas whose messages are delivered immediately, unless
 // their target is down.
 type cluster struct {
 	claims  map[string]*Claims
@@ -23,7 +23,7 @@
 func newCluster(n int) *cluster {
 	c := &cluster{claims: make(map[string]*Claims), now: t0, down: make(map[string]bool)}
 	for i := range n {
-		c.boot(fmt.Sprint("s", i), 1)
+		c.startAgent(fmt.Sprint("s", i), 1)
 	}
 	c.view = testView(1, n, nil)
 	for _, h := range c.claims {
@@ -33,18 +33,18 @@
 	return c
 }
 
-func (c *cluster) boot(name string, inc view.Incarnation) {
+func (c *cluster) startAgent(name string, inc view.Incarnation) {
 	c.claims[name] = NewClaims(c.now, ClaimsConfig{
 		Self: Target{name, inc}, KeyLifetime: time.Hour, MaxClockSkew: time.Second, ReplyTimeout: time.Second,
 		ViewLag: 10 * time.Second, MaxEntries: 8,
 	})
 }
 
-func testView(number uint64, n int, gone map[string]bool) *view.View {
+func testView(number uint64, n int, removed map[string]bool) *view.View {
 	var members []view.BackendServer
 	for i := range n {
 		id := fmt.Sprint("s", i)
-		if !gone[id] {
+		if !removed[id] {
 			members = append(members, view.BackendServer{
 				ID: id, Zone: fmt.Sprint("z", i%2), Incarnation: 1, State: view.Ready, Weight: view.FullWeight,
 			})
@@ -74,190 +74,191 @@
 	}
 }
 
-func (c *cluster) claim(home string, in ClaimRequest) ClaimReply {
+func (c *cluster) claim(primary string, in ClaimRequest) ClaimReply {
 	if in.KeyTime == 0 {
 		in.KeyTime = UnixMillisOf(c.now)
 	}
-	h := c.claims[home]
+	h := c.claims[primary]
 	c.perform(h, h.Claim(c.now, 1, in))
 	return c.replies[len(c.replies)-1]
 }
 
-func (c *cluster) pair(key string) (string, string) {
-	p, _ := newHolders(c.view).pair(key)
-	return p.home.Server, p.second.Server
+func (c *cluster) replicas(key string) (string, string) {
+	p, _ := newReplicaSelector(c.view).replicas(key)
+	return p.primary.Server, p.backup.Server
 }
 
-func holder(n uint64) Assignment { return Assignment{testID(n), ta} }
+func owner(n uint64) Assignment { return Assignment{testID(n), ta} }
 
-func TestClaimReplies(t *testing.T) {
+func TestClaimStatus(t *testing.T) {
 	body, other := Digest{1}, Digest{2}
 	tests := []struct {
 		name string
-		do   func(c *cluster, home, second string) ClaimReply
+		do   func(c *cluster, primary, backup string) ClaimReply
 		want ClaimStatus
 	}{
-		{"granted", func(c *cluster, home, _ string) ClaimReply {
-			return c.claim(home, ClaimRequest{Key: "k", Owner: holder(2)})
+		{"granted", func(c *cluster, primary, _ string) ClaimReply {
+			return c.claim(primary, ClaimRequest{Key: "k", Owner: owner(2)})
 		}, ClaimGranted},
-		{"another attempt holds it", func(c *cluster, home, _ string) ClaimReply {
-			c.claim(home, ClaimRequest{Key: "k", Owner: holder(1)})
-			return c.claim(home, ClaimRequest{Key: "k", Owner: holder(2)})
+		{"another attempt owns the key", func(c *cluster, primary, _ string) ClaimReply {
+			c.claim(primary, ClaimRequest{Key: "k", Owner: owner(1)})
+			return c.claim(primary, ClaimRequest{Key: "k", Owner: owner(2)})
 		}, ClaimExists},
-		{"replaces a fenced attempt", func(c *cluster, home, _ string) ClaimReply {
-			c.claim(home, ClaimRequest{Key: "k", Owner: holder(1)})
-			return c.claim(home, ClaimRequest{Key: "k", Owner: holder(2), Replaces: testID(1)})
+		{"replaces a fenced attempt", func(c *cluster, primary, _ string) ClaimReply {
+			c.claim(primary, ClaimRequest{Key: "k", Owner: owner(1)})
+			return c.claim(primary, ClaimRequest{Key: "k", Owner: owner(2), Replaces: testID(1)})
 		}, ClaimGranted},
-		{"other body", func(c *cluster, home, _ string) ClaimReply {
-			c.claim(home, ClaimRequest{Key: "k", Owner: holder(1), Digest: body})
-			return c.claim(home, ClaimRequest{Key: "k", Owner: holder(2), Digest: other})
+		{"other digest", func(c *cluster, primary, _ string) ClaimReply {
+			c.claim(primary, ClaimRequest{Key: "k", Owner: owner(1), Digest: body})
+			return c.claim(primary, ClaimRequest{Key: "k", Owner: owner(2), Digest: other})
 		}, ClaimMismatch},
-		{"not the home", func(c *cluster, _, second string) ClaimReply {
-			return c.claim(second, ClaimRequest{Key: "k", Owner: holder(2)})
+		{"not the primary", func(c *cluster, _, backup string) ClaimReply {
+			return c.claim(backup, ClaimRequest{Key: "k", Owner: owner(2)})
 		}, ClaimUnavailable},
-		{"second holder down", func(c *cluster, home, second string) ClaimReply {
-			c.down[second] = true
-			return c.claim(home, ClaimRequest{Key: "k", Owner: holder(2)})
+		{"backup down", func(c *cluster, primary, backup string) ClaimReply {
+			c.down[backup] = true
+			return c.claim(primary, ClaimRequest{Key: "k", Owner: owner(2)})
 		}, ClaimUnavailable},
-		{"received before not run was said", func(c *cluster, home, _ string) ClaimReply {
-			c.claim(home, ClaimRequest{Key: "k", Fence: true})
+		{"received before the fence", func(c *cluster, primary, _ string) ClaimReply {
+			c.claim(primary, ClaimRequest{Key: "k", Fence: true})
 			c.now = c.now.Add(time.Second)
-			return c.claim(home, ClaimRequest{Key: "k", KeyTime: UnixMillisOf(c.now.Add(-2 * time.Second)), Owner: holder(2)})
+			return c.claim(primary, ClaimRequest{Key: "k", KeyTime: UnixMillisOf(c.now.Add(-2 * time.Second)), Owner: owner(2)})
 		}, ClaimFenced},
-		{"received after not run was said", func(c *cluster, home, _ string) ClaimReply {
-			made := UnixMillisOf(c.now)
-			c.claim(home, ClaimRequest{Key: "k", Fence: true})
+		{"received after the fence", func(c *cluster, primary, _ string) ClaimReply {
+			keyTime := UnixMillisOf(c.now)
+			c.claim(primary, ClaimRequest{Key: "k", Fence: true})
 			c.now = c.now.Add(GrantTimeout + time.Millisecond)
-			return c.claim(home, ClaimRequest{Key: "k", KeyTime: made, Owner: holder(2)})
+			return c.claim(primary, ClaimRequest{Key: "k", KeyTime: keyTime, Owner: owner(2)})
 		}, ClaimGranted},
-		{"too old", func(c *cluster, home, _ string) ClaimReply {
-			return c.claim(home, ClaimRequest{Key: "k", KeyTime: UnixMillisOf(c.now.Add(-2 * time.Hour))})
+		{"older than the key lifetime", func(c *cluster, primary, _ string) ClaimReply {
+			return c.claim(primary, ClaimRequest{Key: "k", KeyTime: UnixMillisOf(c.now.Add(-2 * time.Hour))})
 		}, ClaimTooOld},
-		{"from the future", func(c *cluster, home, _ string) ClaimReply {
-			return c.claim(home, ClaimRequest{Key: "k", KeyTime: UnixMillisOf(c.now.Add(time.Minute))})
+		{"from the future", func(c *cluster, primary, _ string) ClaimReply {
+			return c.claim(primary, ClaimRequest{Key: "k", KeyTime: UnixMillisOf(c.now.Add(time.Minute))})
 		}, ClaimInvalid},
-		{"made before the home started", func(c *cluster, home, _ string) ClaimReply {
-			return c.claim(home, ClaimRequest{Key: "k", KeyTime: UnixMillisOf(t0)})
+		{"created before the start of the primary", func(c *cluster, primary, _ string) ClaimReply {
+			return c.claim(primary, ClaimRequest{Key: "k", KeyTime: UnixMillisOf(t0)})
 		}, ClaimTooOld},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			c := newCluster(4)
-			home, second := c.pair("k")
-			is.New(t).Equal(tt.do(c, home, second).Status, tt.want)
+			primary, backup := c.replicas("k")
+			is.New(t).Equal(tt.do(c, primary, backup).Status, tt.want)
 		})
 	}
 }
 
-// TestClaimSurvivesLossOfEachHolder moves the key to another home after one or
-// both holders are lost.
-func TestClaimSurvivesLossOfEachHolder(t *testing.T) {
+// TestClaimSurvivesLossOfOneReplica moves the key to another primary after one
+// or both replicas are lost. If both are lost, no agent can rule out a claim.
+func TestClaimSurvivesLossOfOneReplica(t *testing.T) {
 	for _, tt := range []struct {
-		name         string
-		home, second bool
-		want         ClaimStatus
+		name                    string
+		primaryLost, backupLost bool
+		want                    ClaimStatus
 	}{
-		{"home lost", true, false, ClaimExists},
-		{"second lost", false, true, ClaimExists},
+		{"primary lost", true, false, ClaimExists},
+		{"backup lost", false, true, ClaimExists},
 		{"both lost", true, true, ClaimUnavailable},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			c := newCluster(4)
-			made := UnixMillisOf(c.now)
-			home, second := c.pair("k")
-			is.Equal(c.claim(home, ClaimRequest{Key: "k", Owner: holder(1)}).Status, ClaimGranted)
-			c.down[home], c.down[second] = tt.home, tt.second
+			keyTime := UnixMillisOf(c.now)
+			primary, backup := c.replicas("k")
+			is.Equal(c.claim(primary, ClaimRequest{Key: "k", Owner: owner(1)}).Status, ClaimGranted)
+			c.down[primary], c.down[backup] = tt.primaryLost, tt.backupLost
 			c.view = testView(2, 4, c.down)
 			for name, h := range c.claims {
 				if !c.down[name] {
 					c.perform(h, h.SetView(c.now, c.view))
 				}
 			}
-			now, _ := c.pair("k")
-			reply := c.claim(now, ClaimRequest{Key: "k", KeyTime: made, Owner: holder(2)})
+			newPrimary, _ := c.replicas("k")
+			reply := c.claim(newPrimary, ClaimRequest{Key: "k", KeyTime: keyTime, Owner: owner(2)})
 			is.Equal(reply.Status, tt.want)
 			if tt.want == ClaimExists {
-				is.Equal(reply.Owner, holder(1))
+				is.Equal(reply.Owner, owner(1))
 			}
 		})
 	}
 }
 
-// TestNothingUnderOlderViewAfterLookup checks the floor: once a holder told a
-// newer home that it has nothing, it lets nothing happen under older views.
-func TestNothingUnderOlderViewAfterLookup(t *testing.T) {
+// TestLookupBlocksChangesUnderOlderViews checks that a replica that reported no
+// entry to a primary under a newer view accepts no changes under older views.
+// Otherwise both primaries could grant the key.
+func TestLookupBlocksChangesUnderOlderViews(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(4)
-	home, second := c.pair("k")
-	in := ClaimRequest{Key: "k", KeyTime: UnixMillisOf(c.now), Owner: holder(1)}
+	primary, backup := c.replicas("k")
+	in := ClaimRequest{Key: "k", KeyTime: UnixMillisOf(c.now), Owner: owner(1)}
 	older, newer := c.view.Version, view.Version{Epoch: 1, Number: 3}
-	look := func(at string) {
+	lookUp := func(at string) {
 		r := c.claims[at].Lookup(c.now, LookupRequest{Version: newer, To: Target{at, 1}, Key: "k", KeyTime: UnixMillisOf(c.now)})
 		is.True(r.Accepted && !r.Found)
 	}
-	look(second)
-	hold := StoreRequest{Version: older, To: Target{second, 1}, Entry: Entry{Key: "k", KeyTime: UnixMillisOf(c.now), Revision: 1}}
-	is.Equal(c.claims[second].Store(c.now, hold), StoreReply{})
-	is.Equal(c.claim(home, in).Status, ClaimUnavailable)
+	lookUp(backup)
+	store := StoreRequest{Version: older, To: Target{backup, 1}, Entry: Entry{Key: "k", KeyTime: UnixMillisOf(c.now), Revision: 1}}
+	is.Equal(c.claims[backup].Store(c.now, store), StoreReply{})
+	is.Equal(c.claim(primary, in).Status, ClaimUnavailable)
 
-	// The newer home asks while the older one is still looking up.
+	// A lookup under a newer view arrives while the older primary waits for its own.
 	c = newCluster(4)
-	c.view = testView(2, 4, map[string]bool{home: true, second: true})
-	home, second = c.pair("k")
-	h := c.claims[home]
+	c.view = testView(2, 4, map[string]bool{primary: true, backup: true})
+	primary, backup = c.replicas("k")
+	h := c.claims[primary]
 	h.SetView(c.now, c.view)
 	for _, act := range h.Claim(c.now, 1, in) {
 		if l, ok := act.(SendLookup); ok {
-			look(home)
+			lookUp(primary)
 			c.perform(h, h.HandleLookupReply(c.now, l.Seq, LookupReply{Accepted: true}))
 			is.Equal(c.replies, []ClaimReply{{}})
 			return
 		}
 	}
-	t.Fatalf("%s asked no earlier pair, second is %s", home, second)
+	t.Fatalf("primary %s queried no earlier replica pair; the backup is %s", primary, backup)
 }
 
-func TestLaterViewBeatsChangeThatWasNeverGranted(t *testing.T) {
+func TestNewerViewOverridesUngrantedChange(t *testing.T) {
 	is := is.New(t)
-	lost := Entry{Version: view.Version{Epoch: 1, Number: 1}, Revision: 9, Owner: holder(1)}
-	granted := Entry{Version: view.Version{Epoch: 1, Number: 2}, Revision: 2, Owner: holder(2)}
-	for _, order := range [][]Entry{{lost, granted}, {granted, lost}} {
-		o := &op{}
+	ungranted := Entry{Version: view.Version{Epoch: 1, Number: 1}, Revision: 9, Owner: owner(1)}
+	granted := Entry{Version: view.Version{Epoch: 1, Number: 2}, Revision: 2, Owner: owner(2)}
+	for _, order := range [][]Entry{{ungranted, granted}, {granted, ungranted}} {
+		o := &operation{}
 		for _, e := range order {
 			o.merge(LookupReply{Accepted: true, Found: true, Entry: e})
 		}
-		is.Equal(o.best.Owner, holder(2))
+		is.Equal(o.newest.Owner, owner(2))
 	}
 }
 
-func TestRestartedHomeLearnsHistory(t *testing.T) {
+func TestRestartedPrimaryAdoptsHistory(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(4)
-	made := UnixMillisOf(c.now)
-	home, second := c.pair("k")
-	c.claim(home, ClaimRequest{Key: "k", Owner: holder(1)})
-	c.boot(home, 2)
+	keyTime := UnixMillisOf(c.now)
+	primary, backup := c.replicas("k")
+	c.claim(primary, ClaimRequest{Key: "k", Owner: owner(1)})
+	c.startAgent(primary, 2)
 	c.view = testView(2, 4, nil)
-	c.view.Members[c.view.Find(home)].Incarnation = 2
+	c.view.Members[c.view.Find(primary)].Incarnation = 2
 	for _, h := range c.claims {
 		h.SetView(c.now, c.view)
 	}
-	is.Equal(c.claim(home, ClaimRequest{Key: "k", KeyTime: made, Owner: holder(2)}).Status, ClaimUnavailable)
-	c.claims[home].AdoptHistory(c.now, c.claims[second].History(c.now))
-	is.Equal(c.claim(home, ClaimRequest{Key: "k", KeyTime: made, Owner: holder(2)}).Status, ClaimExists)
+	is.Equal(c.claim(primary, ClaimRequest{Key: "k", KeyTime: keyTime, Owner: owner(2)}).Status, ClaimUnavailable)
+	c.claims[primary].AdoptHistory(c.now, c.claims[backup].History(c.now))
+	is.Equal(c.claim(primary, ClaimRequest{Key: "k", KeyTime: keyTime, Owner: owner(2)}).Status, ClaimExists)
 }
 
-func TestClaimsAreBounded(t *testing.T) {
+func TestClaimsBoundsEntries(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(1)
-	status := func(i int, refuse bool) ClaimStatus {
-		return c.claim("s0", ClaimRequest{Key: fmt.Sprint(i), Owner: holder(uint64(i)), Fence: refuse}).Status
+	status := func(i int, fence bool) ClaimStatus {
+		return c.claim("s0", ClaimRequest{Key: fmt.Sprint(i), Owner: owner(uint64(i)), Fence: fence}).Status
 	}
 	for i := range 4 {
 		is.Equal(status(i, true), ClaimFenced)
 	}
-	is.Equal(status(4, true), ClaimUnavailable) // refusals leave room for claims
+	is.Equal(status(4, true), ClaimUnavailable) // fences leave room for claims
 	for i := range 4 {
 		is.Equal(status(10+i, false), ClaimGranted)
 	}
@@ -268,21 +269,21 @@
 	is.Equal(c.claims["s0"].Len(), 1)
 }
 
-func TestStaleHolderRefuses(t *testing.T) {
+func TestUnconfirmedViewRejectsClaims(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(1)
 	c.claims["s0"].cfg.ConfirmWithin = time.Second
-	is.Equal(c.claim("s0", ClaimRequest{Key: "k", Owner: holder(1)}).Status, ClaimUnavailable)
+	is.Equal(c.claim("s0", ClaimRequest{Key: "k", Owner: owner(1)}).Status, ClaimUnavailable)
 	c.claims["s0"].ConfirmView(c.now)
-	is.Equal(c.claim("s0", ClaimRequest{Key: "k", Owner: holder(1)}).Status, ClaimGranted)
+	is.Equal(c.claim("s0", ClaimRequest{Key: "k", Owner: owner(1)}).Status, ClaimGranted)
 }
 
-func TestSilentSecondEndsOperation(t *testing.T) {
+func TestMissingBackupReplyEndsOperation(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(2)
-	home, _ := c.pair("k")
-	h := c.claims[home]
-	h.Claim(c.now, 1, ClaimRequest{Key: "k", KeyTime: UnixMillisOf(c.now), Owner: holder(1)}) // hold never answered
+	primary, _ := c.replicas("k")
+	h := c.claims[primary]
+	h.Claim(c.now, 1, ClaimRequest{Key: "k", KeyTime: UnixMillisOf(c.now), Owner: owner(1)}) // the backup never replies
 	is.Equal(len(h.Tick(c.now)), 0)
 	is.Equal(h.Tick(c.now.Add(time.Second)), []ClaimAction{ReplyClaim{RequestID: 1}})
 }
--- a/core/attempt/claimop.go
+++ b/core/attempt/claimop.go
@@ -7,25 +7,25 @@
 	"fulmarmount.org/core/view"
 )
 
-// ClaimAction is what Claims asks for. The concrete types are ReplyClaim,
-// SendHold and SendLookup.
+// ClaimAction is an action that Claims requests. The concrete types are
+// ReplyClaim, SendStore and SendLookup.
 type ClaimAction interface{ claimAction() }
 
-// ReplyClaim answers the ClaimRequest that was given with Conversation.
+// ReplyClaim replies to the ClaimRequest that Claim received with RequestID.
 type ReplyClaim struct {
 	RequestID uint64
 	Reply     ClaimReply
 }
 
-// SendStore carries a HoldRequest to its target. Its reply, or its loss, is
-// reported by HoldAnswered.
+// SendStore sends a StoreRequest to its target. HandleStoreReply reports its
+// reply or loss.
 type SendStore struct {
 	Seq     uint64
 	Request StoreRequest
 }
 
-// SendLookup carries a LookupRequest to its target. Its reply, or its loss, is
-// reported by LookupAnswered.
+// SendLookup sends a LookupRequest to its target. HandleLookupReply reports its
+// reply or loss.
 type SendLookup struct {
 	Seq     uint64
 	Request LookupRequest
@@ -35,209 +35,212 @@
 func (SendStore) claimAction()  {}
 func (SendLookup) claimAction() {}
 
-// historyWait is how many answers' time a home waits for the history of other
-// members.
-const historyWait = 4
+// historyWaitTimeouts is the time, in units of ReplyTimeout, for which a started
+// agent waits for the history of other members.
+const historyWaitTimeouts = 4
 
-// waiting is a request for a key on which an operation is under way.
-type waiting struct {
-	conversation uint64
-	request      ClaimRequest
+// queuedClaim is a claim request and its ID.
+type queuedClaim struct {
+	requestID uint64
+	request   ClaimRequest
 }
 
-// op is an operation of a home on one key.
-type op struct {
-	waiting
-	since   time.Time
-	version view.Version
-	// asked maps each open lookup to its pair in pairs.
-	asked map[uint64]int
-	// pairs tells which earlier pairs have answered.
-	pairs []bool
-	best  Entry
-	reply ClaimReply
-	seqs  []uint64
-	queue []waiting
+// operation is the handling of a claim request by the primary of its key.
+// Further requests for the key wait in queue.
+type operation struct {
+	queuedClaim
+	startedAt time.Time
+	version   view.Version
+	// openLookups maps the sequence number of each open lookup to the index of
+	// its replica pair in pairReplied.
+	openLookups map[uint64]int
+	// pairReplied holds, for each earlier replica pair, whether it has replied.
+	pairReplied []bool
+	newest      Entry
+	reply       ClaimReply
+	seqs        []uint64
+	queue       []queuedClaim
 }
 
-// Claim handles a request to the home of a key. Refusals may fill half of the
-// entries, so that they do not keep out claims.
-func (c *Claims) Claim(now time.Time, conversation uint64, in ClaimRequest) []ClaimAction {
-	c.out = nil
+// Claim handles a request to the primary of a key. Once half of the entries are in
+// use, it rejects fences of new keys, so that there is room for claims.
+func (c *Claims) Claim(now time.Time, requestID uint64, in ClaimRequest) []ClaimAction {
+	c.actions = nil
 	c.expire(now)
-	if o := c.ops[in.Key]; o != nil && now.Sub(o.since) >= c.cfg.ReplyTimeout {
+	if o := c.ops[in.Key]; o != nil && now.Sub(o.startedAt) >= c.cfg.ReplyTimeout {
 		c.endOp(now, o, ClaimReply{})
 	}
-	c.start(now, waiting{conversation: conversation, request: in})
-	return c.out
+	c.startOp(now, queuedClaim{requestID: requestID, request: in})
+	return c.actions
 }
 
-// Tick ends the operations whose other holders have not answered in time.
+// Tick ends the operations whose other replicas have not replied in time.
 func (c *Claims) Tick(now time.Time) []ClaimAction {
-	c.out = nil
+	c.actions = nil
 	c.expire(now)
-	for _, o := range c.pending() {
-		if now.Sub(o.since) >= c.cfg.ReplyTimeout {
+	for _, o := range c.pendingOps() {
+		if now.Sub(o.startedAt) >= c.cfg.ReplyTimeout {
 			c.endOp(now, o, ClaimReply{})
 		}
 	}
-	return c.out
+	return c.actions
 }
 
-func (c *Claims) start(now time.Time, w waiting) {
+func (c *Claims) startOp(now time.Time, w queuedClaim) {
 	if o := c.ops[w.request.Key]; o != nil {
 		o.queue = append(o.queue, w)
 		return
 	}
-	if status, bad := c.inadmissible(now, w.request); bad {
-		c.answer(w.conversation, ClaimReply{Status: status})
+	if status, rejected := c.rejectionStatus(now, w.request); rejected {
+		c.sendReply(w.requestID, ClaimReply{Status: status})
 		return
 	}
 	if w.request.Fence && len(c.slots) >= c.cfg.MaxEntries/2 && c.slots[w.request.Key] == nil {
-		c.answer(w.conversation, ClaimReply{})
+		c.sendReply(w.requestID, ClaimReply{})
 		return
 	}
-	s := c.slot(w.request.Key, w.request.KeyTime)
-	if s == nil || s.floor.Newer(c.now.view.Version) {
-		c.answer(w.conversation, ClaimReply{})
+	s := c.ensureSlot(w.request.Key, w.request.KeyTime)
+	if s == nil || s.minVersion.Newer(c.current.view.Version) {
+		c.sendReply(w.requestID, ClaimReply{})
 		return
 	}
-	o := &op{waiting: w, since: now, version: c.now.view.Version, asked: make(map[uint64]int)}
+	o := &operation{queuedClaim: w, startedAt: now, version: c.current.view.Version, openLookups: make(map[uint64]int)}
 	c.ops[w.request.Key] = o
-	if s.floor == o.version {
+	if s.minVersion == o.version {
 		c.decide(now, o)
 		return
 	}
-	c.lookUp(now, o, s)
+	c.sendLookups(now, o, s)
 }
 
-func (c *Claims) inadmissible(now time.Time, in ClaimRequest) (ClaimStatus, bool) {
+func (c *Claims) rejectionStatus(now time.Time, in ClaimRequest) (ClaimStatus, bool) {
 	switch {
-	case c.old(now, in.KeyTime):
+	case c.isTooOld(now, in.KeyTime):
 		return ClaimTooOld, true
 	case in.KeyTime.Time().Sub(now) > c.cfg.MaxClockSkew:
 		return ClaimInvalid, true
-	case c.now == nil || c.stale(now):
+	case c.current == nil || c.isStale(now):
 		return ClaimUnavailable, true
 	}
-	p, ok := c.now.pair(in.Key)
-	return ClaimUnavailable, !ok || p.home != c.cfg.Self
+	p, ok := c.current.replicas(in.Key)
+	return ClaimUnavailable, !ok || p.primary != c.cfg.Self
 }
 
-// lookUp asks every earlier pair of the key that may hold a claim. Pairs that
-// this agent is part of are answered by its own slot.
-func (c *Claims) lookUp(now time.Time, o *op, s *slot) {
-	o.best = s.travel(now)
-	present, _ := c.now.pair(o.request.Key)
-	seen := []pair{present}
-	for _, e := range c.earlier {
-		p, ok := e.holders.pair(o.request.Key)
-		own := p.home == c.cfg.Self || p.second == c.cfg.Self
-		if !ok || own || slices.Contains(seen, p) || c.retired(e, o.request.KeyTime) {
+// sendLookups queries the earlier replicas of the key that may store a claim.
+// For pairs that include this agent its own slot is sufficient.
+func (c *Claims) sendLookups(now time.Time, o *operation, s *slot) {
+	o.newest = s.exportEntry(now)
+	currentPair, _ := c.current.replicas(o.request.Key)
+	seen := []replicaPair{currentPair}
+	for _, e := range c.previous {
+		p, ok := e.selector.replicas(o.request.Key)
+		isMember := p.primary == c.cfg.Self || p.backup == c.cfg.Self
+		if !ok || isMember || slices.Contains(seen, p) || c.isRetired(e, o.request.KeyTime) {
 			continue
 		}
 		seen = append(seen, p)
-		o.pairs = append(o.pairs, false)
-		c.ask(o, p.home)
-		c.ask(o, p.second)
+		o.pairReplied = append(o.pairReplied, false)
+		c.sendLookup(o, p.primary)
+		c.sendLookup(o, p.backup)
 	}
-	if len(o.pairs) == 0 {
-		c.lookedUp(now, o)
+	if len(o.pairReplied) == 0 {
+		c.finishLookups(now, o)
 	}
 }
 
-// retired reports whether no agent acts on e any longer when a key made at
-// that time is first used.
-func (c *Claims) retired(e superseded, made UnixMillis) bool {
-	return made.Time().Add(-c.cfg.MaxClockSkew).After(e.at.Add(c.cfg.ViewLag))
+// isRetired reports whether no agent acts on the view e any longer when a key
+// with this time is first used.
+func (c *Claims) isRetired(e supersededView, keyTime UnixMillis) bool {
+	return keyTime.Time().Add(-c.cfg.MaxClockSkew).After(e.replacedAt.Add(c.cfg.ViewLag))
 }
 
-func (c *Claims) ask(o *op, t Target) {
+func (c *Claims) sendLookup(o *operation, t Target) {
 	if t == (Target{}) {
 		return
 	}
 	seq := c.nextSeq(o)
-	o.asked[seq] = len(o.pairs) - 1
-	c.out = append(c.out, SendLookup{Seq: seq, Request: LookupRequest{
+	o.openLookups[seq] = len(o.pairReplied) - 1
+	c.actions = append(c.actions, SendLookup{Seq: seq, Request: LookupRequest{
 		Version: o.version, To: t, Key: o.request.Key, KeyTime: o.request.KeyTime,
 	}})
 }
 
-func (c *Claims) nextSeq(o *op) uint64 {
+func (c *Claims) nextSeq(o *operation) uint64 {
 	c.lastSeq++
 	c.bySeq[c.lastSeq] = o
 	o.seqs = append(o.seqs, c.lastSeq)
 	return c.lastSeq
 }
 
-// HandleLookupReply reports the reply to a SendLookup, or a zero reply if none
-// will come.
+// HandleLookupReply handles the reply to a SendLookup, or a zero reply if the
+// reply is lost.
 func (c *Claims) HandleLookupReply(now time.Time, seq uint64, in LookupReply) []ClaimAction {
-	c.out = nil
+	c.actions = nil
 	o := c.bySeq[seq]
 	if o == nil {
 		return nil
 	}
-	i, asked := o.asked[seq]
-	if !asked {
+	i, isOpen := o.openLookups[seq]
+	if !isOpen {
 		return nil
 	}
 	delete(c.bySeq, seq)
-	delete(o.asked, seq)
+	delete(o.openLookups, seq)
 	if in.Accepted {
-		o.pairs[i] = true
+		o.pairReplied[i] = true
 		o.merge(in)
 	}
 	switch {
-	case !slices.Contains(o.pairs, false):
-		c.lookedUp(now, o)
-	case len(o.asked) == 0:
+	case !slices.Contains(o.pairReplied, false):
+		c.finishLookups(now, o)
+	case len(o.openLookups) == 0:
 		c.endOp(now, o, ClaimReply{})
 	}
-	return c.out
+	return c.actions
 }
 
-func (o *op) merge(in LookupReply) {
-	if in.Found && in.Entry.newer(&o.best) {
-		o.best = in.Entry
+func (o *operation) merge(in LookupReply) {
+	if in.Found && in.Entry.isNewer(&o.newest) {
+		o.newest = in.Entry
 	}
 }
 
-// lookedUp adopts what the earlier holders had. Where they had nothing, the
-// home must know every view of the key's life.
-func (c *Claims) lookedUp(now time.Time, o *op) {
-	covered := o.request.KeyTime.Time().Add(-c.cfg.MaxClockSkew).After(c.since)
-	s := c.slot(o.request.Key, o.request.KeyTime)
-	if s == nil || s.floor.Newer(o.version) {
+// finishLookups adopts the newest entry of the earlier replicas. If there is
+// none, the operation continues only if the primary's history covers the time
+// since the key was created.
+func (c *Claims) finishLookups(now time.Time, o *operation) {
+	isCovered := o.request.KeyTime.Time().Add(-c.cfg.MaxClockSkew).After(c.historyStart)
+	s := c.ensureSlot(o.request.Key, o.request.KeyTime)
+	if s == nil || s.minVersion.Newer(o.version) {
 		c.endOp(now, o, ClaimReply{})
 		return
 	}
-	if o.best.newer(&s.entry) {
-		s.set(now, o.best)
+	if o.newest.isNewer(&s.entry) {
+		s.importEntry(now, o.newest)
 	}
-	if s.entry.Revision == 0 && !covered {
-		c.endOp(now, o, ClaimReply{Status: c.uncovered(now)})
+	if s.entry.Revision == 0 && !isCovered {
+		c.endOp(now, o, ClaimReply{Status: c.uncoveredStatus(now)})
 		return
 	}
-	s.floor = o.version
+	s.minVersion = o.version
 	c.decide(now, o)
 }
 
-// uncovered is the answer about a key from before the history of this home. The
-// history of other members is awaited for a while.
-func (c *Claims) uncovered(now time.Time) ClaimStatus {
-	if now.Sub(c.started) < historyWait*c.cfg.ReplyTimeout {
+// uncoveredStatus returns the status of a key that is older than the history of
+// this primary. For a time after its start it may still adopt a longer one.
+func (c *Claims) uncoveredStatus(now time.Time) ClaimStatus {
+	if now.Sub(c.startedAt) < historyWaitTimeouts*c.cfg.ReplyTimeout {
 		return ClaimUnavailable
 	}
 	return ClaimTooOld
 }
 
-// decide answers the request from the home's own slot, which is up to date.
-func (c *Claims) decide(now time.Time, o *op) {
+// decide handles the request with the primary's own slot, which is up to date.
+func (c *Claims) decide(now time.Time, o *operation) {
 	s := c.slots[o.request.Key]
 	in := o.request
-	reply, change := s.judge(now, in)
-	if !change {
+	reply, changesEntry := s.evaluate(now, in)
+	if !changesEntry {
 		c.endOp(now, o, reply)
 		return
 	}
@@ -246,7 +249,7 @@
 	s.entry.Digest = in.Digest
 	if reply.Status == ClaimFenced {
 		s.entry.Fenced = true
-		s.refusedAt = now
+		s.fencedAt = now
 	} else {
 		s.entry.Owner = in.Owner
 	}
@@ -254,45 +257,46 @@
 	c.replicate(now, o, s)
 }
 
-// judge returns the answer to in, and whether it takes a change of the entry.
-func (s *slot) judge(now time.Time, in ClaimRequest) (ClaimReply, bool) {
+// evaluate returns the reply to in, and whether the reply requires a change of
+// the entry.
+func (s *slot) evaluate(now time.Time, in ClaimRequest) (ClaimReply, bool) {
 	e := &s.entry
-	mine := e.Owner.ID.IsZero() || e.Owner.ID == in.Replaces || e.Owner.ID == in.Owner.ID
+	isAvailable := e.Owner.ID.IsZero() || e.Owner.ID == in.Replaces || e.Owner.ID == in.Owner.ID
 	switch {
 	case e.Revision > 0 && e.Digest != in.Digest:
 		return ClaimReply{Status: ClaimMismatch}, false
-	case !mine:
+	case !isAvailable:
 		return ClaimReply{Status: ClaimExists, Owner: e.Owner}, false
-	case in.Fence || s.heldBack(now, in.Age):
+	case in.Fence || s.isFenced(now, in.Age):
 		return ClaimReply{Status: ClaimFenced, RetryAfter: GrantTimeout}, true
 	default:
 		return ClaimReply{Status: ClaimGranted}, true
 	}
 }
 
-// heldBack reports whether a gateway may have received the request before the
-// last "not run". The request travelled for less than GrantBound, else its
-// grant is not used.
-func (s *slot) heldBack(now time.Time, age time.Duration) bool {
-	return s.entry.Fenced && !now.Add(-age-GrantTimeout).After(s.refusedAt)
+// isFenced reports whether a gateway may have received the request before the
+// last fence. It assumes that the claim arrived within GrantTimeout; otherwise
+// the gateway ignores the grant.
+func (s *slot) isFenced(now time.Time, age time.Duration) bool {
+	return s.entry.Fenced && !now.Add(-age-GrantTimeout).After(s.fencedAt)
 }
 
-func (c *Claims) replicate(now time.Time, o *op, s *slot) {
-	p, _ := c.now.pair(o.request.Key)
-	if p.second == (Target{}) {
+func (c *Claims) replicate(now time.Time, o *operation, s *slot) {
+	p, _ := c.current.replicas(o.request.Key)
+	if p.backup == (Target{}) {
 		c.endOp(now, o, o.reply)
 		return
 	}
 	seq := c.nextSeq(o)
-	c.out = append(c.out, SendStore{Seq: seq, Request: StoreRequest{
-		Version: o.version, To: p.second, Entry: s.travel(now),
+	c.actions = append(c.actions, SendStore{Seq: seq, Request: StoreRequest{
+		Version: o.version, To: p.backup, Entry: s.exportEntry(now),
 	}})
 }
 
-// HandleStoreReply reports the reply to a SendHold, or a zero reply if none will
-// come.
+// HandleStoreReply handles the reply to a SendStore, or a zero reply if the reply
+// is lost.
 func (c *Claims) HandleStoreReply(now time.Time, seq uint64, in StoreReply) []ClaimAction {
-	c.out = nil
+	c.actions = nil
 	o := c.bySeq[seq]
 	if o == nil {
 		return nil
@@ -302,18 +306,18 @@
 		reply = o.reply
 	}
 	c.endOp(now, o, reply)
-	return c.out
+	return c.actions
 }
 
-// endOp answers the request of o and goes on with the next one for its key.
-func (c *Claims) endOp(now time.Time, o *op, reply ClaimReply) {
+// endOp replies to the request of o and starts the next one for its key.
+func (c *Claims) endOp(now time.Time, o *operation, reply ClaimReply) {
 	for _, seq := range o.seqs {
 		delete(c.bySeq, seq)
 	}
 	delete(c.ops, o.request.Key)
-	c.answer(o.conversation, reply)
+	c.sendReply(o.requestID, reply)
 	for i, w := range o.queue {
-		c.start(now, w)
+		c.startOp(now, w)
 		if next := c.ops[o.request.Key]; next != nil {
 			next.queue = append(next.queue, o.queue[i+1:]...)
 			return
@@ -321,6 +325,6 @@
 	}
 }
 
-func (c *Claims) answer(conversation uint64, reply ClaimReply) {
-	c.out = append(c.out, ReplyClaim{RequestID: conversation, Reply: reply})
+func (c *Claims) sendReply(requestID uint64, reply ClaimReply) {
+	c.actions = append(c.actions, ReplyClaim{RequestID: requestID, Reply: reply})
 }
--- a/core/attempt/ending.go
+++ b/core/attempt/ending.go
@@ -2,136 +2,139 @@
 
 import "time"
 
-// again sends the request to another backend server if it may, else ends it.
-// Every earlier send that is not proven dead must be marked in a.unproven.
-func (a *Coordinator) again(now time.Time, reason Reason, retryAfter time.Duration, free bool) {
-	if len(a.streams) > 0 {
-		return // the other copy of a hedged request goes on
+// retry routes the request to another backend server if the limits allow it, and
+// ends it otherwise. The caller must have set mayHaveRun if an earlier attempt
+// may have run.
+func (c *Coordinator) retry(now time.Time, reason Reason, retryAfter time.Duration, bypassBudget bool) {
+	if len(c.streams) > 0 {
+		return // the other copy of a hedged request continues
 	}
-	if a.unproven && !a.cfg.Repeatable {
-		a.finish(Result{Outcome: Unknown, Reason: reason})
+	if c.mayHaveRun && !c.cfg.Repeatable {
+		c.finish(Result{Outcome: Unknown, Reason: reason})
 		return
 	}
-	resumable := !a.answer.begun || a.answer.validator != ""
-	if a.sends < a.cfg.MaxSends && resumable && now.Before(a.cfg.Deadline) && (free || a.cfg.Retries.Withdraw()) {
-		a.route()
+	resumable := !c.delivery.started || c.delivery.validator != ""
+	if c.sendCount < c.cfg.MaxSends && resumable && now.Before(c.cfg.Deadline) && (bypassBudget || c.cfg.Retries.Withdraw()) {
+		c.route()
 		return
 	}
-	a.fail(now, reason, retryAfter)
+	c.fail(now, reason, retryAfter)
 }
 
-// fail ends a request that has no stream left.
-func (a *Coordinator) fail(now time.Time, reason Reason, retryAfter time.Duration) {
-	if a.unproven || a.answer.begun {
-		a.finish(Result{Outcome: Unknown, Reason: reason, RetryAfter: retryAfter})
+// fail ends a request that has no open streams.
+func (c *Coordinator) fail(now time.Time, reason Reason, retryAfter time.Duration) {
+	if c.mayHaveRun || c.delivery.started {
+		c.finish(Result{Outcome: Unknown, Reason: reason, RetryAfter: retryAfter})
 		return
 	}
-	a.result = Result{Outcome: NotRun, Reason: reason, RetryAfter: retryAfter}
-	if a.cfg.Key == "" || a.cfg.Repeatable {
-		a.finish(a.result)
+	c.result = Result{Outcome: NotRun, Reason: reason, RetryAfter: retryAfter}
+	if c.cfg.Key == "" || c.cfg.Repeatable {
+		c.finish(c.result)
 		return
 	}
-	a.refuse(now)
+	c.fenceKey(now)
 }
 
-// refuse makes "not run" true for the key, not for this send alone.
-func (a *Coordinator) refuse(now time.Time) {
-	a.phase = phaseRefusing
-	a.control.num = a.nextNum()
-	a.control.since = now
-	a.emit(FenceKey{Stream: a.control.num, Replaces: a.fenced})
+// fenceKey fences the key, so that NotRun holds for every request with the key
+// that a gateway has received so far and not for this one alone.
+func (c *Coordinator) fenceKey(now time.Time) {
+	c.phase = phaseFencing
+	c.keyCall.streamNum = c.nextStreamNum()
+	c.keyCall.startedAt = now
+	c.emit(FenceKey{Stream: c.keyCall.streamNum, Replaces: c.fencedID})
 }
 
-func (a *Coordinator) refused(now time.Time, in Claimed) {
+func (c *Coordinator) handleFenceStatus(now time.Time, in Claimed) {
 	switch in.Status {
 	case ClaimFenced:
-		r := a.result
+		r := c.result
 		r.RetryAfter = max(r.RetryAfter, in.RetryAfter)
-		a.finish(r)
+		c.finish(r)
 	case ClaimExists:
-		if a.result.Reason == ReasonCancelled || !now.Before(a.cfg.Deadline) {
-			a.finish(Result{Outcome: Unknown, Reason: ReasonStillRunning})
+		if c.result.Reason == ReasonCancelled || !now.Before(c.cfg.Deadline) {
+			c.finish(Result{Outcome: Unknown, Reason: ReasonStillRunning})
 			return
 		}
-		a.adopt(now, in.Owner)
+		c.adoptOwner(now, in.Owner)
 	case ClaimMismatch:
-		a.finish(Result{Outcome: NotRun, Reason: ReasonKeyReused})
+		c.finish(Result{Outcome: NotRun, Reason: ReasonKeyReused})
 	case ClaimTooOld:
-		a.finish(Result{Outcome: Unknown, Reason: ReasonKeyTooOld})
+		c.finish(Result{Outcome: Unknown, Reason: ReasonKeyTooOld})
 	case ClaimInvalid:
-		a.finish(Result{Outcome: NotRun, Reason: ReasonKeyInvalid})
+		c.finish(Result{Outcome: NotRun, Reason: ReasonKeyInvalid})
 	default:
-		a.finish(Result{Outcome: Unknown, Reason: ReasonKeyUnavailable, RetryAfter: a.result.RetryAfter})
+		c.finish(Result{Outcome: Unknown, Reason: ReasonKeyUnavailable, RetryAfter: c.result.RetryAfter})
 	}
 }
 
-func (a *Coordinator) unroutable(now time.Time, in Unroutable) {
-	if a.phase != phaseRouting {
+func (c *Coordinator) unroutable(now time.Time, in Unroutable) {
+	if c.phase != phaseRouting {
 		return
 	}
-	if len(a.streams) > 0 {
-		a.phase = phaseWaiting
+	if len(c.streams) > 0 {
+		c.phase = phaseWaiting
 		return
 	}
-	a.fail(now, in.Reason, in.RetryAfter)
+	c.fail(now, in.Reason, in.RetryAfter)
 }
 
-// giveUp ends the attempt at the deadline or when the caller goes away.
-func (a *Coordinator) giveUp(now time.Time, reason Reason) {
+// abandon ends the request at its deadline or when the caller disconnects.
+func (c *Coordinator) abandon(now time.Time, reason Reason) {
 	switch {
-	case a.phase == phaseRefusing:
+	case c.phase == phaseFencing:
 		if reason == ReasonCancelled {
 			return
 		}
-		a.finish(Result{Outcome: Unknown, Reason: ReasonKeyUnavailable})
-	case len(a.streams) > 0 && a.foreign:
-		a.finish(Result{Outcome: Unknown, Reason: ReasonStillRunning})
-	case len(a.streams) > 0:
-		a.finish(Result{Outcome: Unknown, Reason: reason})
-	case a.phase == phaseClaiming:
-		a.finish(Result{Outcome: Unknown, Reason: a.claimReason(reason)})
-	case reason == ReasonCancelled && a.cfg.Key != "":
-		a.finish(Result{Outcome: Unknown, Reason: reason})
+		c.finish(Result{Outcome: Unknown, Reason: ReasonKeyUnavailable})
+	case len(c.streams) > 0 && c.isAdopted:
+		c.finish(Result{Outcome: Unknown, Reason: ReasonStillRunning})
+	case len(c.streams) > 0:
+		c.finish(Result{Outcome: Unknown, Reason: reason})
+	case c.phase == phaseClaiming:
+		c.finish(Result{Outcome: Unknown, Reason: c.claimTimeoutReason(reason)})
+	case reason == ReasonCancelled && c.cfg.Key != "":
+		c.finish(Result{Outcome: Unknown, Reason: reason})
 	default:
-		a.fail(now, reason, 0)
+		c.fail(now, reason, 0)
 	}
 }
 
-// claimReason is why a claim that was not answered in time failed.
-func (a *Coordinator) claimReason(reason Reason) Reason {
+// claimTimeoutReason returns the reason of a request that ended without a reply
+// to its claim.
+func (c *Coordinator) claimTimeoutReason(reason Reason) Reason {
 	if reason == ReasonDeadline {
 		return ReasonKeyUnavailable
 	}
 	return reason
 }
 
-func (a *Coordinator) tick(now time.Time) {
-	late := now.Sub(a.control.since) >= a.cfg.ReplyTimeout
-	if a.phase == phaseRefusing {
-		if late {
-			a.giveUp(now, ReasonDeadline)
+func (c *Coordinator) tick(now time.Time) {
+	replyTimedOut := now.Sub(c.keyCall.startedAt) >= c.cfg.ReplyTimeout
+	if c.phase == phaseFencing {
+		if replyTimedOut {
+			c.abandon(now, ReasonDeadline)
 		}
 		return
 	}
-	if !now.Before(a.cfg.Deadline) {
-		a.giveUp(now, ReasonDeadline)
+	if !now.Before(c.cfg.Deadline) {
+		c.abandon(now, ReasonDeadline)
 		return
 	}
-	if a.phase == phaseClaiming && late {
-		a.claim(now)
+	if c.phase == phaseClaiming && replyTimedOut {
+		c.sendClaim(now)
 		return
 	}
-	a.tickStreams(now)
-	if a.mayHedge() && now.Sub(a.streams[0].active) >= a.cfg.HedgeAfter {
-		a.hedged = true
-		if a.cfg.Retries.Withdraw() {
-			a.route()
+	c.checkStreamTimeouts(now)
+	if c.canHedge() && now.Sub(c.streams[0].lastActive) >= c.cfg.HedgeAfter {
+		c.hasHedged = true
+		if c.cfg.Retries.Withdraw() {
+			c.route()
 		}
 	}
 }
 
-func (a *Coordinator) mayHedge() bool {
-	return a.phase == phaseWaiting && a.cfg.Repeatable && a.cfg.HedgeAfter > 0 && !a.hedged &&
-		a.sends < a.cfg.MaxSends && len(a.streams) == 1 &&
-		a.streams[0].kind == kindSend && !a.streams[0].head
+func (c *Coordinator) canHedge() bool {
+	return c.phase == phaseWaiting && c.cfg.Repeatable && c.cfg.HedgeAfter > 0 && !c.hasHedged &&
+		c.sendCount < c.cfg.MaxSends && len(c.streams) == 1 &&
+		c.streams[0].kind == kindSend && !c.streams[0].hasHead
 }
--- a/core/attempt/example_test.go
+++ b/core/attempt/example_test.go
@@ -7,8 +7,8 @@
 	"fulmarmount.org/core/attempt"
 )
 
-// A request that may not be repeated is asked about, not sent again, when its
-// connection breaks.
+// If the connection of a request that is not repeatable breaks, the coordinator
+// queries the state of the attempt instead of sending the request again.
 func Example() {
 	now := time.Unix(0, 0)
 	target := attempt.Target{Server: "desk-1", Incarnation: 7}
--- a/core/attempt/message.go
+++ b/core/attempt/message.go
@@ -2,87 +2,88 @@
 
 import "time"
 
-// Input is what an Attempt is told. The concrete types are in this file.
+// Input is an event that Coordinator.Step handles. The concrete types are in this
+// file.
 type Input interface{ input() }
 
-// Start begins the attempt.
+// Start starts the request.
 type Start struct{}
 
-// Routed answers Route: the request may go to Target under a fresh ID.
+// Routed is the reply to Route: the request may be sent to Target under a new ID.
 type Routed struct {
 	ID     ID
 	Target Target
 }
 
-// Unroutable answers Route: nothing can take the request now.
+// Unroutable is the reply to Route if no backend server accepts the request now.
 type Unroutable struct {
 	Reason     Reason
 	RetryAfter time.Duration
 }
 
-// Claimed answers Claim and Refuse.
+// Claimed is the reply to Claim and FenceKey.
 type Claimed struct {
 	Stream uint32
 	Status ClaimStatus
-	// Owner is the attempt that holds the key, if Status is ClaimExists.
+	// Owner is the attempt that owns the key, if Status is ClaimExists.
 	Owner Assignment
 	// RetryAfter is set if Status is ClaimHeldBack.
 	RetryAfter time.Duration
 }
 
-// NotSent reports that no byte of a Send left this process.
+// NotSent reports that no byte of a Send was written to the network.
 type NotSent struct{ Stream uint32 }
 
-// Rejected reports that the agent did not run a Send. State is StateFenced if
-// it never will, else StateUnknown.
+// Rejected reports that the agent rejected a Send. State is StateFenced if the
+// attempt never runs, else StateUnknown.
 type Rejected struct {
 	Stream     uint32
 	State      State
 	RetryAfter time.Duration
 }
 
-// Head is the beginning of an answer.
+// Head is the head of a response.
 type Head struct {
 	Stream uint32
-	// ID is the attempt that the agent says it answers.
+	// ID is the attempt that the response belongs to, as the agent reports it.
 	ID ID
-	// Length is the size of the whole body in bytes, or -1 if not yet known.
+	// Length is the size of the complete body in bytes, or -1 if unknown.
 	Length int64
-	// Offset is the place in the body at which this stream begins.
+	// Offset is the offset in the body at which this stream starts.
 	Offset int64
 	// Validator identifies the version of the body, such as an ETag. Without
-	// one a broken answer is not resumed at another backend server.
+	// one a broken response is not resumed at another backend server.
 	Validator string
 }
 
-// Body is progress of an answer by N bytes. Zero bytes mean that the stream
-// waits for the caller rather than for the agent.
+// Body reports N further bytes of a response body. N is 0 if the stream made
+// progress because the caller accepted data.
 type Body struct {
 	Stream uint32
 	N      int64
 }
 
-// End is the agent's word that the body is complete, with its size in bytes.
+// End reports that the agent has sent the complete body of Total bytes.
 type End struct {
 	Stream uint32
 	Total  int64
 }
 
-// Reset reports that a stream broke, whatever the reason.
+// Reset reports that a stream failed for any reason.
 type Reset struct{ Stream uint32 }
 
-// Settled answers Settle.
+// Settled is the reply to Settle.
 type Settled struct {
 	Stream uint32
 	State  State
-	// HasResponse is set if State is StateDone and the answer can be fetched.
+	// HasResponse is true if State is StateDone and the response can be fetched.
 	HasResponse bool
 }
 
-// Tick reports the passing of time.
+// Tick reports that time has passed, see Coordinator.NextTick.
 type Tick struct{}
 
-// Cancel reports that the caller has gone.
+// Cancel reports that the caller has disconnected.
 type Cancel struct{}
 
 func (Start) input()      {}
@@ -99,28 +100,29 @@
 func (Tick) input()       {}
 func (Cancel) input()     {}
 
-// Action is what an Attempt asks for. The concrete types are in this file.
+// Action is an action that Coordinator.Step requests. The concrete types are in
+// this file.
 type Action interface{ action() }
 
-// Route asks for a backend server that is not in Exclude.
+// Route requests a backend server that is not in Exclude.
 type Route struct{ Exclude []string }
 
-// Claim asks the home of the key to let the attempt ID run at Target.
+// Claim claims the key for the attempt ID at Target, at the primary of the key.
 type Claim struct {
 	Stream uint32
 	ID     ID
 	Target Target
-	// Replaces is the attempt that held the key and is fenced, or zero.
+	// Replaces is the fenced attempt that owned the key, or zero.
 	Replaces ID
 	// Age is the time since the gateway received the request.
 	Age time.Duration
 }
 
-// FenceKey asks the home of the key to hold back every send of the key that a
-// gateway received earlier, so that "not run" stays true.
+// FenceKey fences the key at its primary: every request with the key that a
+// gateway received earlier is rejected, so that NotRun remains true.
 type FenceKey struct {
 	Stream uint32
-	// Replaces is the fenced attempt that holds the key, or zero.
+	// Replaces is the fenced attempt that owns the key, or zero.
 	Replaces ID
 }
 
@@ -129,21 +131,21 @@
 	Stream uint32
 	ID     ID
 	Target Target
-	// Offset and Validator ask for the rest of a body of which Offset bytes
-	// were passed on.
+	// Offset and Validator request the rest of a body of which Offset bytes were
+	// delivered.
 	Offset    int64
 	Validator string
 }
 
-// Settle asks the same incarnation, on a fresh connection, what became of ID.
-// An agent that has not seen ID fences it.
+// Settle queries the state of ID at the same incarnation, on a new connection. An
+// agent that has not received ID fences it.
 type Settle struct {
 	Stream uint32
 	ID     ID
 	Target Target
 }
 
-// Fetch reads the answer that the agent holds, on a fresh connection.
+// Fetch reads the response that the agent stores, on a new connection.
 type Fetch struct {
 	Stream uint32
 	ID     ID
@@ -151,19 +153,19 @@
 	Offset int64
 }
 
-// Stop drops a stream.
+// Stop closes a stream.
 type Stop struct {
 	Stream uint32
-	// Cancel asks the agent to cancel the attempt behind the stream. The agent
+	// Cancel requests that the agent cancel the attempt of the stream. The agent
 	// fences it if it is queued, and ends it if it runs and is repeatable.
 	Cancel bool
 }
 
-// Pass lets the stream's head and body through to the caller. If the answer was
-// already begun on another stream, only the body continues.
+// Pass delivers the stream's head and body to the caller. If another stream has
+// delivered the head already, only the body is delivered.
 type Pass struct{ Stream uint32 }
 
-// Finish ends the attempt. No action follows.
+// Finish ends the request. No action follows.
 type Finish struct{ Result Result }
 
 func (Route) action()    {}
--- a/core/attempt/record.go
+++ b/core/attempt/record.go
@@ -6,44 +6,44 @@
 	"fulmarmount.org/core/view"
 )
 
-// RegistryConfig bounds a Record.
+// RegistryConfig configures a Registry.
 type RegistryConfig struct {
-	// Incarnation is the run of the agent that keeps the record.
+	// Incarnation is the incarnation of the agent.
 	Incarnation view.Incarnation
-	// Retention is how long an attempt is kept after it ended. It must exceed
-	// the longest deadline of any request.
+	// Retention is how long an attempt is stored after its end. It must exceed
+	// the longest timeout of any request.
 	Retention time.Duration
-	// MaxAttempts bounds the attempts that are kept.
+	// MaxAttempts bounds the stored attempts that run or ran.
 	MaxAttempts int
-	// MaxFences bounds the attempts that are kept because they never ran.
-	// Beyond it the oldest are forgotten.
+	// MaxFences bounds the stored attempts that never ran. Beyond it the oldest
+	// are evicted.
 	MaxFences int
-	// MaxResponseBytes is the size in bytes of the largest answer that is kept.
+	// MaxResponseBytes bounds the size of a response that is stored.
 	MaxResponseBytes int
-	// MaxTotalBytes bounds all answers that are kept.
+	// MaxTotalBytes bounds the size of all stored responses.
 	MaxTotalBytes int
 }
 
 // Verdict is an agent's decision about an attempt that arrived.
 type Verdict uint8
 
-// The verdicts of Record.Begin.
+// The verdicts of Registry.Begin.
 const (
 	VerdictRun     Verdict = iota // run it
-	VerdictFenced                 // refused, and never run
-	VerdictUnknown                // refused; what became of it is not known here
-	VerdictFull                   // refused, and never run: the record is full
+	VerdictFenced                 // rejected; it never runs
+	VerdictUnknown                // rejected; its state is unknown
+	VerdictFull                   // rejected because the registry is full; it never runs
 )
 
-// Response is a whole answer of a backend server.
+// Response is a complete response of a backend server.
 type Response struct {
 	Status int
-	// Header is the answer's header block in the adapter's encoding.
+	// Header holds the header fields in the encoding of the caller of Registry.
 	Header []byte
 	Body   []byte
 }
 
-func (a *Response) size() int { return len(a.Header) + len(a.Body) }
+func (r *Response) size() int { return len(r.Header) + len(r.Body) }
 
 // Arrival is an attempt that reached an agent.
 type Arrival struct {
@@ -52,74 +52,74 @@
 	// Key and Digest are set for requests with an Idempotency-Key.
 	Key    string
 	Digest Digest
-	// Deadline is in the agent's own time.
+	// Deadline is a time of the agent's clock.
 	Deadline time.Time
 }
 
-type recorded struct {
-	id     ID
-	state  State
-	key    string
-	answer *Response
-	ended  time.Time
+type record struct {
+	id       ID
+	state    State
+	key      string
+	response *Response
+	endedAt  time.Time
 }
 
-// floor is the highest attempt of a gateway that was forgotten.
-type floor struct {
+// watermark is the highest run and sequence of a gateway's evicted attempts.
+type watermark struct {
 	run      uint64
 	sequence uint64
 }
 
-// Registry is what one agent knows of attempts. An attempt that it forgot is
-// never run again: its gateway's floor refuses it.
+// Registry stores the attempts of one agent. It rejects an evicted attempt that
+// arrives again, because its ID is not above its gateway's watermark.
 type Registry struct {
-	cfg    RegistryConfig
-	byID   map[ID]*recorded
-	byKey  map[string]*recorded
-	floors map[string]floor
-	// ended and fenced hold the attempts that are not running, oldest first.
-	ended  []*recorded
-	fenced []*recorded
-	bytes  int
+	cfg        RegistryConfig
+	byID       map[ID]*record
+	byKey      map[string]*record
+	watermarks map[string]watermark
+	// ended and fenced list the attempts that do not run, oldest first.
+	ended         []*record
+	fenced        []*record
+	responseBytes int
 }
 
-// NewRegistry returns an empty record.
+// NewRegistry returns an empty Registry.
 func NewRegistry(cfg RegistryConfig) *Registry {
 	return &Registry{
-		cfg:    cfg,
-		byID:   make(map[ID]*recorded),
-		byKey:  make(map[string]*recorded),
-		floors: make(map[string]floor),
+		cfg:        cfg,
+		byID:       make(map[ID]*record),
+		byKey:      make(map[string]*record),
+		watermarks: make(map[string]watermark),
 	}
 }
 
-// Len returns the number of attempts that are kept.
+// Len returns the number of stored attempts.
 func (r *Registry) Len() int { return len(r.byID) }
 
-// ResponseBytes returns the size of the answers that are kept.
-func (r *Registry) ResponseBytes() int { return r.bytes }
+// ResponseBytes returns the size of the stored responses.
+func (r *Registry) ResponseBytes() int { return r.responseBytes }
 
-// Begin decides on an attempt that arrived. After VerdictRun the caller must
-// report its end by Done, Failed or Fence.
+// Begin decides whether an attempt that arrived may run. After VerdictRun the
+// caller must report its end by Complete, Fail or Fence.
 func (r *Registry) Begin(now time.Time, in Arrival) Verdict {
 	r.Expire(now)
-	if have := r.byID[in.ID]; have != nil && have.state == StateFenced {
+	if existing := r.byID[in.ID]; existing != nil && existing.state == StateFenced {
 		return VerdictFenced
-	} else if have != nil {
+	} else if existing != nil {
 		return VerdictUnknown
 	}
-	if in.Incarnation != r.cfg.Incarnation || r.forgotten(in.ID) {
+	if in.Incarnation != r.cfg.Incarnation || r.isEvicted(in.ID) {
 		return VerdictUnknown
 	}
-	if r.keyTaken(in.Key) || !now.Before(in.Deadline) {
-		r.refuse(now, in.ID)
+	if r.isKeyUsed(in.Key) || !now.Before(in.Deadline) {
+		r.addFenced(now, in.ID)
 		return VerdictFenced
 	}
 	if len(r.byID)-len(r.fenced) >= r.cfg.MaxAttempts {
-		r.refuse(now, in.ID)
+		r.addFenced(now, in.ID)
 		return VerdictFull
 	}
-	e := &recorded{id: in.ID, state: StateRunning, key: in.Key}
+	e := &record{id: in.ID, state: StateRunning, key: in.Key}
 	r.byID[in.ID] = e
 	if in.Key != "" {
 		r.byKey[in.Key] = e
@@ -127,31 +127,31 @@
 	return VerdictRun
 }
 
-// keyTaken reports whether an attempt of key runs or ran here. The holders of
-// the key let only one attempt run; this is the last check.
-func (r *Registry) keyTaken(key string) bool {
+// isKeyUsed reports whether an attempt of key runs or ran here. The replicas of
+// the key already grant it to one attempt only; this is a second check.
+func (r *Registry) isKeyUsed(key string) bool {
 	return key != "" && r.byKey[key] != nil
 }
 
-func (r *Registry) forgotten(id ID) bool {
-	f, ok := r.floors[id.Gateway]
-	if !ok || id.Run > f.run {
+func (r *Registry) isEvicted(id ID) bool {
+	w, ok := r.watermarks[id.Gateway]
+	if !ok || id.Run > w.run {
 		return false
 	}
-	return id.Run < f.run || id.Sequence <= f.sequence
+	return id.Run < w.run || id.Sequence <= w.sequence
 }
 
-// refuse fences an attempt that has no entry.
-func (r *Registry) refuse(now time.Time, id ID) {
-	e := &recorded{id: id}
+// addFenced fences an attempt that has no record.
+func (r *Registry) addFenced(now time.Time, id ID) {
+	e := &record{id: id}
 	r.byID[id] = e
-	r.end(now, e, StateFenced)
+	r.endRecord(now, e, StateFenced)
 }
 
-// end moves e to a state in which it no longer runs.
-func (r *Registry) end(now time.Time, e *recorded, state State) {
+// endRecord changes e to a state in which it does not run.
+func (r *Registry) endRecord(now time.Time, e *record, state State) {
 	e.state = state
-	e.ended = now
+	e.endedAt = now
 	if state != StateFenced {
 		r.ended = append(r.ended, e)
 		return
@@ -161,12 +161,12 @@
 	}
 	r.fenced = append(r.fenced, e)
 	if len(r.fenced) > r.cfg.MaxFences {
-		r.forget(r.fenced[0])
+		r.evict(r.fenced[0])
 		r.fenced = r.fenced[1:]
 	}
 }
 
-func (r *Registry) running(id ID) *recorded {
+func (r *Registry) findRunning(id ID) *record {
 	e := r.byID[id]
 	if e == nil || e.state != StateRunning {
 		return nil
@@ -174,92 +174,93 @@
 	return e
 }
 
-// Complete records the whole answer of a running attempt. A nil answer, or one
-// that is too large, is not kept; that it ran is.
-func (r *Registry) Complete(now time.Time, id ID, answer *Response) {
-	e := r.running(id)
+// Complete records the end of a running attempt and its response. The response is
+// not stored if it is nil or larger than MaxResponseBytes.
+func (r *Registry) Complete(now time.Time, id ID, response *Response) {
+	e := r.findRunning(id)
 	if e == nil {
 		return
 	}
-	if answer != nil && answer.size() <= r.cfg.MaxResponseBytes {
-		e.answer = answer
-		r.bytes += answer.size()
+	if response != nil && response.size() <= r.cfg.MaxResponseBytes {
+		e.response = response
+		r.responseBytes += response.size()
 	}
-	r.end(now, e, StateDone)
-	r.dropAnswers()
+	r.endRecord(now, e, StateDone)
+	r.evictResponses()
 }
 
-// Fail records that a running attempt broke off: it may have had effects.
+// Fail records that a running attempt failed midway: it may have had effects.
 func (r *Registry) Fail(now time.Time, id ID) {
-	if e := r.running(id); e != nil {
-		r.end(now, e, StateUnknown)
+	if e := r.findRunning(id); e != nil {
+		r.endRecord(now, e, StateUnknown)
 	}
 }
 
-// Fence records that an attempt was taken out of the queue before it started.
-// It reports whether the attempt is proven not to have run.
+// Fence records that an attempt was removed before it started. It reports
+// whether the attempt is proven not to have run.
 func (r *Registry) Fence(now time.Time, id ID) bool {
-	e := r.running(id)
+	e := r.findRunning(id)
 	if e == nil {
 		return false
 	}
-	r.end(now, e, StateFenced)
+	r.endRecord(now, e, StateFenced)
 	return true
 }
 
-// Settle says what became of an attempt. One that has not arrived is fenced.
+// Settle returns the state of an attempt and its stored response. It fences an
+// attempt that has not arrived.
 func (r *Registry) Settle(now time.Time, id ID, incarnation view.Incarnation) (State, *Response) {
 	r.Expire(now)
 	if e := r.byID[id]; e != nil {
-		return e.state, e.answer
+		return e.state, e.response
 	}
-	if incarnation != r.cfg.Incarnation || r.forgotten(id) {
+	if incarnation != r.cfg.Incarnation || r.isEvicted(id) {
 		return StateUnknown, nil
 	}
-	r.refuse(now, id)
+	r.addFenced(now, id)
 	return StateFenced, nil
 }
 
-// Expire forgets attempts whose lifetime has passed.
+// Expire evicts the attempts that ended more than Retention ago.
 func (r *Registry) Expire(now time.Time) {
 	r.ended = r.expire(now, r.ended)
 	r.fenced = r.expire(now, r.fenced)
 }
 
-func (r *Registry) expire(now time.Time, list []*recorded) []*recorded {
+func (r *Registry) expire(now time.Time, list []*record) []*record {
 	n := 0
-	for n < len(list) && now.Sub(list[n].ended) >= r.cfg.Retention {
-		r.forget(list[n])
+	for n < len(list) && now.Sub(list[n].endedAt) >= r.cfg.Retention {
+		r.evict(list[n])
 		n++
 	}
 	clear(list[:n])
 	return list[n:]
 }
 
-func (r *Registry) forget(e *recorded) {
-	if e.answer != nil {
-		r.bytes -= e.answer.size()
+func (r *Registry) evict(e *record) {
+	if e.response != nil {
+		r.responseBytes -= e.response.size()
 	}
 	if r.byKey[e.key] == e {
 		delete(r.byKey, e.key)
 	}
 	delete(r.byID, e.id)
-	f := r.floors[e.id.Gateway]
-	if e.id.Run > f.run || e.id.Run == f.run && e.id.Sequence > f.sequence {
-		r.floors[e.id.Gateway] = floor{run: e.id.Run, sequence: e.id.Sequence}
+	w := r.watermarks[e.id.Gateway]
+	if e.id.Run > w.run || e.id.Run == w.run && e.id.Sequence > w.sequence {
+		r.watermarks[e.id.Gateway] = watermark{run: e.id.Run, sequence: e.id.Sequence}
 	}
 }
 
-// dropAnswers frees the oldest answers until the rest fit. That they ran stays
-// recorded.
-func (r *Registry) dropAnswers() {
+// evictResponses removes the oldest responses until the rest fit MaxTotalBytes.
+// Their attempts stay recorded.
+func (r *Registry) evictResponses() {
 	for _, e := range r.ended {
-		if r.bytes <= r.cfg.MaxTotalBytes {
+		if r.responseBytes <= r.cfg.MaxTotalBytes {
 			return
 		}
-		if e.answer != nil {
-			r.bytes -= e.answer.size()
-			e.answer = nil
+		if e.response != nil {
+			r.responseBytes -= e.response.size()
+			e.response = nil
 		}
 	}
 }
--- a/core/attempt/schedule_test.go
+++ b/core/attempt/schedule_test.go
@@ -8,31 +8,31 @@
 	"github.com/matryer/is"
 )
 
-// load lets callers send keys and send them again, at any gateway, after a
-// refusal, an unknown outcome or none at all.
-func load(s *sim, keys int) {
+// scheduleRequests schedules requests with distinct keys. Callers resend them at any
+// gateway, after a rejection or an unknown outcome, or without waiting for one.
+func scheduleRequests(s *sim, keys int) {
 	for i := range keys {
 		key := fmt.Sprint("k", i)
-		s.after(s.upTo(40*time.Second), func() { send(s, key, s.now, 4) })
+		s.after(s.randomDuration(40*time.Second), func() { send(s, key, s.now, 4) })
 	}
 }
 
-func send(s *sim, key string, made time.Time, left int) {
-	again := func() { send(s, key, made, left-1) }
-	if left > 1 && s.chance(0.2) {
-		s.after(s.upTo(4*time.Second), again)
+func send(s *sim, key string, keyTime time.Time, remaining int) {
+	resend := func() { send(s, key, keyTime, remaining-1) }
+	if remaining > 1 && s.randomBool(0.2) {
+		s.after(s.randomDuration(4*time.Second), resend)
 	}
-	s.request(s.gateways[s.rng.IntN(len(s.gateways))], key, made, func(r Result) {
-		if r.Outcome != Answered && left > 1 {
-			s.after(r.RetryAfter+s.upTo(2*time.Second), again)
+	s.request(s.gateways[s.rng.IntN(len(s.gateways))], key, keyTime, func(r Result) {
+		if r.Outcome != Answered && remaining > 1 {
+			s.after(r.RetryAfter+s.randomDuration(2*time.Second), resend)
 		}
 	})
 }
 
-// doubled counts the keys that ran more than once.
-func doubled(s *sim) int {
+// countDuplicateRuns counts the keys that ran more than once.
+func countDuplicateRuns(s *sim) int {
 	n := 0
-	for _, runs := range s.runs {
+	for _, runs := range s.runCount {
 		if runs > 1 {
 			n++
 		}
@@ -40,44 +40,44 @@
 	return n
 }
 
-func TestSeededSchedules(t *testing.T) {
-	tables := []struct {
-		name  string
-		f     faults
-		seeds int
+func TestKeyRunsAtMostOnceUnderRandomFaults(t *testing.T) {
+	tests := []struct {
+		name   string
+		faults faults
+		seeds  int
 	}{
 		{"no faults", faults{}, 3},
-		{"lossy", faults{lose: 0.1, double: 0.1, cut: 0.1}, 40},
-		{"shedding", faults{lose: 0.05, double: 0.1, shed: 0.5}, 40},
-		{"restarts", faults{lose: 0.02, restart: 6 * time.Second}, 30},
-		{"everything", faults{lose: 0.15, double: 0.15, cut: 0.2, shed: 0.3, restart: 8 * time.Second}, 40},
+		{"lossy", faults{loss: 0.1, duplication: 0.1, truncation: 0.1}, 40},
+		{"shedding", faults{loss: 0.05, duplication: 0.1, shedding: 0.5}, 40},
+		{"restarts", faults{loss: 0.02, restartInterval: 6 * time.Second}, 30},
+		{"all faults", faults{loss: 0.15, duplication: 0.15, truncation: 0.2, shedding: 0.3, restartInterval: 8 * time.Second}, 40},
 	}
-	for _, tt := range tables {
+	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			var outcomes [3]int
-			naive := 0
+			duplicateRuns := 0
 			for seed := range tt.seeds {
-				s := newSim(uint64(seed), tt.f, false)
-				load(s, 60)
+				s := newSim(uint64(seed), tt.faults, false)
+				scheduleRequests(s, 60)
 				s.run(5 * time.Minute)
 				for o, n := range s.outcomes {
 					outcomes[o] += n
 				}
-				if len(s.bad) > 0 || doubled(s) > 0 {
-					t.Fatalf("seed %d: %v, %d keys ran twice", seed, s.bad, doubled(s))
+				if len(s.violations) > 0 || countDuplicateRuns(s) > 0 {
+					t.Fatalf("seed %d: %v, %d keys ran more than once", seed, s.violations, countDuplicateRuns(s))
 				}
-				n := newSim(uint64(seed), tt.f, true)
-				load(n, 60)
+				n := newSim(uint64(seed), tt.faults, true)
+				scheduleRequests(n, 60)
 				n.run(5 * time.Minute)
-				naive += doubled(n)
+				duplicateRuns += countDuplicateRuns(n)
 			}
-			t.Logf("unknown, answered, not run: %v; keys that ran twice without claims: %d", outcomes, naive)
+			t.Logf("unknown, answered, not run: %v; keys that ran more than once without claims: %d", outcomes, duplicateRuns)
 			is.True(outcomes[Answered] > 0)
-			if tt.f == (faults{}) {
+			if tt.faults == (faults{}) {
 				is.Equal(outcomes[Unknown]+outcomes[NotRun], 0)
 			} else {
-				is.True(naive > 0) // the schedules must be able to show a second run
+				is.True(duplicateRuns > 0) // the faults must cause a second run if claims are skipped
 			}
 		})
 	}
--- a/core/attempt/sim_test.go
+++ b/core/attempt/sim_test.go
@@ -9,10 +9,10 @@
 	"fulmarmount.org/core/view"
 )
 
-// faults are the probabilities of one schedule.
+// faults are the fault probabilities of one simulation.
 type faults struct {
-	lose, double, cut, shed float64
-	restart                 time.Duration // mean time between restarts, 0 for none
+	loss, duplication, truncation, shedding float64
+	restartInterval                         time.Duration // mean time between restarts, 0 for none
 }
 
 type event struct {
@@ -36,31 +36,31 @@
 	return x
 }
 
-// sim joins gateways and agents by a network that loses, delays and doubles
-// messages, and counts how often each key ran.
+// sim simulates gateways and agents on a network that loses, delays and
+// duplicates messages, and counts the runs of each key.
 type sim struct {
-	rng      *rand.Rand
-	now      time.Time
-	queue    events
-	seq      int
-	faults   faults
-	agents   []*simAgent
-	gateways []*simGateway
-	view     *view.View
-	runs     map[string]int
-	notRun   map[string]time.Time
-	outcomes [3]int
-	bad      []string
-	naive    bool
+	rng        *rand.Rand
+	now        time.Time
+	queue      events
+	seq        int
+	faults     faults
+	agents     []*simAgent
+	gateways   []*simGateway
+	view       *view.View
+	runCount   map[string]int
+	notRunAt   map[string]time.Time
+	outcomes   [3]int
+	violations []string
+	skipClaims bool
 }
 
 type simAgent struct {
-	index   int
-	target  Target
-	record  *Registry
-	claims  *Claims
-	pending map[uint64]func(ClaimReply)
-	conv    uint64
+	index         int
+	target        Target
+	registry      *Registry
+	claims        *Claims
+	pending       map[uint64]func(ClaimReply)
+	lastRequestID uint64
 }
 
 type simGateway struct {
@@ -75,14 +75,14 @@
 	simLag      = 3 * time.Second
 )
 
-func newSim(seed uint64, f faults, naive bool) *sim {
+func newSim(seed uint64, f faults, skipClaims bool) *sim {
 	s := &sim{
-		rng: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0), faults: f, naive: naive,
-		runs: make(map[string]int), notRun: make(map[string]time.Time),
+		rng: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0), faults: f, skipClaims: skipClaims,
+		runCount: make(map[string]int), notRunAt: make(map[string]time.Time),
 	}
 	for i := range 5 {
 		s.agents = append(s.agents, &simAgent{index: i})
-		s.boot(s.agents[i], 1)
+		s.startAgent(s.agents[i], 1)
 	}
 	s.view = s.newView(1)
 	for _, a := range s.agents {
@@ -92,15 +92,15 @@
 		s.gateways = append(s.gateways, &simGateway{name: fmt.Sprint("g", i), view: s.view})
 	}
 	s.now = s.now.Add(time.Second)
-	if f.restart > 0 {
-		s.after(s.upTo(f.restart), s.restart)
+	if f.restartInterval > 0 {
+		s.after(s.randomDuration(f.restartInterval), s.restart)
 	}
 	return s
 }
 
-func (s *sim) boot(a *simAgent, inc view.Incarnation) {
+func (s *sim) startAgent(a *simAgent, inc view.Incarnation) {
 	a.target = Target{Server: fmt.Sprint("s", a.index), Incarnation: inc}
-	a.record = NewRegistry(RegistryConfig{
+	a.registry = NewRegistry(RegistryConfig{
 		Incarnation: inc, Retention: simLifetime, MaxAttempts: 1000, MaxFences: 1000, MaxResponseBytes: 100, MaxTotalBytes: 10000,
 	})
 	a.claims = NewClaims(s.now, ClaimsConfig{
@@ -121,26 +121,26 @@
 	return view.New(1, view.Version{Epoch: 1, Number: number}, members)
 }
 
-// restart gives one agent a new incarnation, and the others the new view at
-// uneven times within the lag.
+// restart gives one agent a new incarnation. The others receive the new view at
+// random times within simLag.
 func (s *sim) restart() {
 	a := s.agents[s.rng.IntN(len(s.agents))]
-	s.boot(a, a.target.Incarnation+1)
+	s.startAgent(a, a.target.Incarnation+1)
 	s.view = s.newView(s.view.Version.Number + 1)
 	v := s.view
 	peer := s.agents[(a.index+1)%len(s.agents)].claims.History(s.now)
 	a.claims.AdoptHistory(s.now, peer)
 	for _, b := range s.agents {
-		s.after(s.upTo(simLag-100*time.Millisecond), func() { s.perform(b, b.claims.SetView(s.now, v)) })
+		s.after(s.randomDuration(simLag-100*time.Millisecond), func() { s.perform(b, b.claims.SetView(s.now, v)) })
 	}
 	for _, g := range s.gateways {
-		s.after(s.upTo(simLag), func() {
+		s.after(s.randomDuration(simLag), func() {
 			if v.Version.Newer(g.view.Version) {
 				g.view = v
 			}
 		})
 	}
-	s.after(s.upTo(2*s.faults.restart), s.restart)
+	s.after(s.randomDuration(2*s.faults.restartInterval), s.restart)
 }
 
 func (s *sim) after(d time.Duration, do func()) {
@@ -148,25 +148,28 @@
 	heap.Push(&s.queue, event{at: s.now.Add(d), seq: s.seq, do: do})
 }
 
-func (s *sim) upTo(d time.Duration) time.Duration { return time.Duration(s.rng.Int64N(int64(d) + 1)) }
+func (s *sim) randomDuration(d time.Duration) time.Duration {
+	return time.Duration(s.rng.Int64N(int64(d) + 1))
+}
 
-func (s *sim) chance(p float64) bool { return s.rng.Float64() < p }
+func (s *sim) randomBool(p float64) bool { return s.rng.Float64() < p }
 
-// deliver carries one message: at most times, never, or twice.
+// deliver delivers one message once, never or twice, possibly late. A lost message
+// is reported to the sender in half of the cases.
 func (s *sim) deliver(do func(), lost func()) {
-	delay := 3*time.Millisecond + s.upTo(4*time.Millisecond)
-	if s.chance(s.faults.lose) {
-		delay += s.upTo(3 * time.Second)
+	delay := 3*time.Millisecond + s.randomDuration(4*time.Millisecond)
+	if s.randomBool(s.faults.loss) {
+		delay += s.randomDuration(3 * time.Second)
 	}
-	if s.chance(s.faults.lose) {
-		if s.chance(0.5) {
+	if s.randomBool(s.faults.loss) {
+		if s.randomBool(0.5) {
 			s.after(delay, lost)
 		}
 		return
 	}
 	s.after(delay, do)
-	if s.chance(s.faults.double) {
-		s.after(delay+s.upTo(3*time.Second), do)
+	if s.randomBool(s.faults.duplication) {
+		s.after(delay+s.randomDuration(3*time.Second), do)
 	}
 }
 
@@ -179,7 +182,7 @@
 	}
 }
 
-// perform carries out what an agent's Claims ask for.
+// perform performs the actions of an agent's Claims.
 func (s *sim) perform(a *simAgent, acts []ClaimAction) {
 	claims := a.claims
 	for _, act := range acts {
@@ -190,13 +193,13 @@
 			}
 		case SendStore:
 			done := func(r StoreReply) { s.perform(a, claims.HandleStoreReply(s.now, act.Seq, r)) }
-			s.call(func() { done(StoreReply{}) }, act.Request.To, func(b *simAgent) {
+			s.callAgent(func() { done(StoreReply{}) }, act.Request.To, func(b *simAgent) {
 				r := b.claims.Store(s.now, act.Request)
 				s.deliver(func() { done(r) }, func() { done(StoreReply{}) })
 			})
 		case SendLookup:
 			done := func(r LookupReply) { s.perform(a, claims.HandleLookupReply(s.now, act.Seq, r)) }
-			s.call(func() { done(LookupReply{}) }, act.Request.To, func(b *simAgent) {
+			s.callAgent(func() { done(LookupReply{}) }, act.Request.To, func(b *simAgent) {
 				r := b.claims.Lookup(s.now, act.Request)
 				s.deliver(func() { done(r) }, func() { done(LookupReply{}) })
 			})
@@ -204,7 +207,7 @@
 	}
 }
 
-func (s *sim) call(lost func(), to Target, do func(*simAgent)) {
+func (s *sim) callAgent(lost func(), to Target, do func(*simAgent)) {
 	for _, a := range s.agents {
 		if a.target.Server == to.Server {
 			s.deliver(func() { do(a) }, lost)
@@ -212,53 +215,53 @@
 	}
 }
 
-// simRequest is one send of a key by its caller.
+// simRequest is one request of a caller with a key.
 type simRequest struct {
-	s        *sim
-	g        *simGateway
-	a        *Coordinator
-	key      string
-	made     time.Time
-	received time.Time
-	body     string
-	done     func(Result)
+	sim         *sim
+	gateway     *simGateway
+	coordinator *Coordinator
+	key         string
+	keyTime     time.Time
+	receivedAt  time.Time
+	body        string
+	done        func(Result)
 }
 
-func (s *sim) request(g *simGateway, key string, made time.Time, done func(Result)) {
-	r := &simRequest{s: s, g: g, key: key, made: made, received: s.now, done: done}
-	r.a = New(Config{
+func (s *sim) request(g *simGateway, key string, keyTime time.Time, done func(Result)) {
+	r := &simRequest{sim: s, gateway: g, key: key, keyTime: keyTime, receivedAt: s.now, done: done}
+	r.coordinator = New(Config{
 		Key: key, Deadline: s.now.Add(8 * time.Second), SettleAfter: 200 * time.Millisecond,
-		StallTimeout: 200 * time.Millisecond, ReplyTimeout: 300 * time.Millisecond, MaxSends: 3, Retries: always{},
+		StallTimeout: 200 * time.Millisecond, ReplyTimeout: 300 * time.Millisecond, MaxSends: 3, Retries: unlimitedRetries{},
 	})
 	r.feed(Start{})
 }
 
-type always struct{}
+type unlimitedRetries struct{}
 
-func (always) Withdraw() bool { return true }
+func (unlimitedRetries) Withdraw() bool { return true }
 
 func (r *simRequest) feed(in Input) {
-	acts := append([]Action(nil), r.a.Step(r.s.now, in)...)
+	acts := append([]Action(nil), r.coordinator.Step(r.sim.now, in)...)
 	for _, act := range acts {
-		r.act(act)
+		r.perform(act)
 	}
-	if !r.a.Finished() {
-		wake := r.a.NextTick().Sub(r.s.now)
-		r.s.after(max(wake, time.Millisecond), func() {
-			if !r.a.Finished() && !r.a.NextTick().After(r.s.now) {
+	if !r.coordinator.Finished() {
+		delay := r.coordinator.NextTick().Sub(r.sim.now)
+		r.sim.after(max(delay, time.Millisecond), func() {
+			if !r.coordinator.Finished() && !r.coordinator.NextTick().After(r.sim.now) {
 				r.feed(Tick{})
 			}
 		})
 	}
 }
 
-func (r *simRequest) act(act Action) {
-	s := r.s
+func (r *simRequest) perform(act Action) {
+	s := r.sim
 	switch act := act.(type) {
 	case Route:
-		r.g.seq++
-		m := r.g.view.Members[s.rng.IntN(len(r.g.view.Members))]
-		id := ID{Gateway: r.g.name, Run: 1, Sequence: r.g.seq}
+		r.gateway.seq++
+		m := r.gateway.view.Members[s.rng.IntN(len(r.gateway.view.Members))]
+		id := ID{Gateway: r.gateway.name, Run: 1, Sequence: r.gateway.seq}
 		r.feed(Routed{ID: id, Target: Target{Server: m.ID, Incarnation: m.Incarnation}})
 	case Claim:
 		r.claim(act.Stream, ClaimRequest{Owner: Assignment{act.ID, act.Target}, Replaces: act.Replaces, Age: act.Age})
@@ -266,115 +269,115 @@
 		r.claim(act.Stream, ClaimRequest{Replaces: act.Replaces, Fence: true})
 	case Send:
 		lost := func() { r.feed(Reset{act.Stream}) }
-		s.call(lost, act.Target, func(a *simAgent) { r.arrive(a, act) })
+		s.callAgent(lost, act.Target, func(a *simAgent) { r.handleSend(a, act) })
 	case Settle:
 		lost := func() { r.feed(Reset{act.Stream}) }
-		s.call(lost, act.Target, func(a *simAgent) {
-			st, ans := a.record.Settle(s.now, act.ID, act.Target.Incarnation)
+		s.callAgent(lost, act.Target, func(a *simAgent) {
+			st, ans := a.registry.Settle(s.now, act.ID, act.Target.Incarnation)
 			s.deliver(func() { r.feed(Settled{act.Stream, st, ans != nil}) }, lost)
 		})
 	case Fetch:
-		s.call(func() { r.feed(Reset{act.Stream}) }, act.Target, func(a *simAgent) {
-			if _, ans := a.record.Settle(s.now, act.ID, act.Target.Incarnation); ans != nil {
-				r.answer(act.Stream, act.ID, ans, act.Offset)
+		s.callAgent(func() { r.feed(Reset{act.Stream}) }, act.Target, func(a *simAgent) {
+			if _, ans := a.registry.Settle(s.now, act.ID, act.Target.Incarnation); ans != nil {
+				r.sendResponse(act.Stream, act.ID, ans, act.Offset)
 			}
 		})
 	case Finish:
 		s.outcomes[act.Result.Outcome]++
 		if act.Result.Outcome == NotRun {
-			s.notRun[r.key] = s.now
-			if s.runs[r.key] > 0 {
-				s.bad = append(s.bad, "false not run of "+r.key)
+			s.notRunAt[r.key] = s.now
+			if s.runCount[r.key] > 0 {
+				s.violations = append(s.violations, "reported as not run, but ran: "+r.key)
 			}
 		}
 		if act.Result.Outcome == Answered && r.body != "answer to "+r.key {
-			s.bad = append(s.bad, fmt.Sprintf("%s got %q", r.key, r.body))
+			s.violations = append(s.violations, fmt.Sprintf("%s received response %q", r.key, r.body))
 		}
 		r.done(act.Result)
 	}
 }
 
 func (r *simRequest) claim(stream uint32, in ClaimRequest) {
-	in.Key, in.KeyTime = r.key, UnixMillisOf(r.made)
-	s := r.s
-	if s.naive {
+	in.Key, in.KeyTime = r.key, UnixMillisOf(r.keyTime)
+	s := r.sim
+	if s.skipClaims {
 		r.feed(Claimed{Stream: stream, Status: ClaimGranted})
 		return
 	}
-	home, _ := Primary(r.key, r.g.view)
-	s.call(func() {}, home, func(a *simAgent) {
-		a.conv++
-		a.pending[a.conv] = func(rep ClaimReply) {
+	primary, _ := Primary(r.key, r.gateway.view)
+	s.callAgent(func() {}, primary, func(a *simAgent) {
+		a.lastRequestID++
+		a.pending[a.lastRequestID] = func(rep ClaimReply) {
 			s.deliver(func() {
 				r.feed(Claimed{Stream: stream, Status: rep.Status, Owner: rep.Owner, RetryAfter: rep.RetryAfter})
 			}, func() {})
 		}
-		s.perform(a, a.claims.Claim(s.now, a.conv, in))
+		s.perform(a, a.claims.Claim(s.now, a.lastRequestID, in))
 	})
 }
 
-// arrive runs a Send at an agent. The naive agent runs whatever arrives.
-func (r *simRequest) arrive(a *simAgent, act Send) {
-	s, rec := r.s, a.record
-	refuse := func(st State) {
+// handleSend handles a Send at an agent.
+func (r *simRequest) handleSend(a *simAgent, act Send) {
+	s, registry := r.sim, a.registry
+	reject := func(st State) {
 		s.deliver(func() { r.feed(Rejected{Stream: act.Stream, State: st}) }, func() { r.feed(Reset{act.Stream}) })
 	}
-	v := rec.Begin(s.now, Arrival{
-		ID: act.ID, Incarnation: act.Target.Incarnation, Key: r.key, Deadline: r.received.Add(8 * time.Second),
+	v := registry.Begin(s.now, Arrival{
+		ID: act.ID, Incarnation: act.Target.Incarnation, Key: r.key, Deadline: r.receivedAt.Add(8 * time.Second),
 	})
 	switch {
-	case v == VerdictRun && s.chance(s.faults.shed):
-		rec.Fence(s.now, act.ID)
-		refuse(StateFenced)
+	case v == VerdictRun && s.randomBool(s.faults.shedding):
+		registry.Fence(s.now, act.ID)
+		reject(StateFenced)
 		return
 	case v == VerdictFenced:
-		refuse(StateFenced)
+		reject(StateFenced)
 		return
 	case v != VerdictRun:
-		refuse(StateUnknown)
+		reject(StateUnknown)
 		return
 	}
-	s.after(s.upTo(300*time.Millisecond), func() {
-		if a.record != rec {
+	s.after(s.randomDuration(300*time.Millisecond), func() {
+		if a.registry != registry {
 			return
 		}
-		s.runs[r.key]++
-		if at, told := s.notRun[r.key]; told && !r.received.After(at) {
-			s.bad = append(s.bad, "ran after not run: "+r.key)
+		s.runCount[r.key]++
+		if at, reported := s.notRunAt[r.key]; reported && !r.receivedAt.After(at) {
+			s.violations = append(s.violations, "ran after it was reported as not run: "+r.key)
 		}
-		s.after(s.upTo(400*time.Millisecond), func() {
+		s.after(s.randomDuration(400*time.Millisecond), func() {
 			ans := &Response{Body: []byte("answer to " + r.key)}
-			rec.Complete(s.now, act.ID, ans)
-			if a.record == rec {
-				r.answer(act.Stream, act.ID, ans, act.Offset)
+			registry.Complete(s.now, act.ID, ans)
+			if a.registry == registry {
+				r.sendResponse(act.Stream, act.ID, ans, act.Offset)
 			}
 		})
 	})
 }
 
-// answer streams an answer, which may be cut anywhere.
-func (r *simRequest) answer(num uint32, id ID, ans *Response, offset int64) {
-	s, half := r.s, (int64(len(ans.Body))+offset)/2
+// sendResponse streams a response, which may be cut after its first half.
+func (r *simRequest) sendResponse(num uint32, id ID, ans *Response, offset int64) {
+	s, half := r.sim, (int64(len(ans.Body))+offset)/2
 	lost := func() { r.feed(Reset{num}) }
 	s.deliver(func() {
-		if st := r.a.find(num); st == nil || st.head {
+		if st := r.coordinator.findStream(num); st == nil || st.hasHead {
 			return
 		}
 		r.feed(Head{Stream: num, ID: id, Length: int64(len(ans.Body)), Offset: offset})
-		r.pass(num, ans.Body[offset:half])
-		if s.chance(s.faults.cut) {
+		r.deliverBody(num, ans.Body[offset:half])
+		if s.randomBool(s.faults.truncation) {
 			lost()
 			return
 		}
 		s.after(time.Millisecond, func() {
-			r.pass(num, ans.Body[half:])
+			r.deliverBody(num, ans.Body[half:])
 			r.feed(End{Stream: num, Total: int64(len(ans.Body))})
 		})
 	}, lost)
 }
 
-func (r *simRequest) pass(num uint32, b []byte) {
-	if st := r.a.find(num); st != nil && st.head {
+func (r *simRequest) deliverBody(num uint32, b []byte) {
+	if st := r.coordinator.findStream(num); st != nil && st.hasHead {
 		r.body += string(b)
 		r.feed(Body{Stream: num, N: int64(len(b))})
 	}
--- a/core/attempt/stream.go
+++ b/core/attempt/stream.go
@@ -5,229 +5,230 @@
 	"time"
 )
 
-// patience is how long s may be inactive.
-func (a *Coordinator) patience(s *stream) time.Duration {
+// inactivityTimeout returns how long s may make no progress.
+func (c *Coordinator) inactivityTimeout(s *stream) time.Duration {
 	switch {
-	case s.head:
-		return a.cfg.StallTimeout
+	case s.hasHead:
+		return c.cfg.StallTimeout
 	case s.kind == kindSend:
-		return a.cfg.SettleAfter
+		return c.cfg.SettleAfter
 	default:
-		return a.cfg.ReplyTimeout
+		return c.cfg.ReplyTimeout
 	}
 }
 
-func (a *Coordinator) tickStreams(now time.Time) {
-	for _, s := range slices.Clone(a.streams) {
-		if a.phase != phaseWaiting || a.find(s.num) == nil || now.Sub(s.active) < a.patience(&s) {
+func (c *Coordinator) checkStreamTimeouts(now time.Time) {
+	for _, s := range slices.Clone(c.streams) {
+		if c.phase != phaseWaiting || c.findStream(s.num) == nil || now.Sub(s.lastActive) < c.inactivityTimeout(&s) {
 			continue
 		}
-		if s.kind == kindSend && !s.head {
-			a.silent(now, s)
+		if s.kind == kindSend && !s.hasHead {
+			c.querySilentSend(now, s)
 			continue
 		}
-		a.drop(s)
-		a.broken(now, s)
+		c.closeStream(s)
+		c.handleBrokenStream(now, s)
 	}
 }
 
-// silent asks about a send that has said nothing. The send stays open: its
-// answer is welcome if it comes first.
-func (a *Coordinator) silent(now time.Time, s stream) {
-	a.find(s.num).active = now
-	if !a.has(s.id, kindSettle) {
-		a.settle(now, Assignment{ID: s.id, Target: s.target})
+// querySilentSend queries the agent for the state of a send that has no response
+// head. The send stays open, because its response may arrive before the reply.
+func (c *Coordinator) querySilentSend(now time.Time, s stream) {
+	c.findStream(s.num).lastActive = now
+	if !c.hasStream(s.id, kindSettle) {
+		c.settle(now, Assignment{ID: s.id, Target: s.target})
 	}
 }
 
-func (a *Coordinator) streamInput(now time.Time, in Input) {
+func (c *Coordinator) streamInput(now time.Time, in Input) {
 	switch in := in.(type) {
 	case NotSent:
-		a.notSent(now, in)
+		c.notSent(now, in)
 	case Rejected:
-		a.refusedSend(now, in)
+		c.rejectedSend(now, in)
 	case Head:
-		a.head(now, in)
+		c.head(now, in)
 	case Body:
-		a.body(now, in)
+		c.body(now, in)
 	case End:
-		a.end(now, in)
+		c.end(now, in)
 	case Reset:
-		a.reset(now, in.Stream)
+		c.reset(now, in.Stream)
 	case Settled:
-		a.settled(now, in)
+		c.settled(now, in)
 	}
 }
 
-func (a *Coordinator) notSent(now time.Time, in NotSent) {
-	s := a.find(in.Stream)
+func (c *Coordinator) notSent(now time.Time, in NotSent) {
+	s := c.findStream(in.Stream)
 	if s == nil {
 		return
 	}
 	if s.kind != kindSend {
-		a.reset(now, in.Stream)
+		c.reset(now, in.Stream)
 		return
 	}
-	a.forget(in.Stream)
-	a.again(now, ReasonNoServer, 0, true)
+	c.removeStream(in.Stream)
+	c.retry(now, ReasonNoServer, 0, true)
 }
 
-func (a *Coordinator) refusedSend(now time.Time, in Rejected) {
-	s := a.find(in.Stream)
+func (c *Coordinator) rejectedSend(now time.Time, in Rejected) {
+	s := c.findStream(in.Stream)
 	if s == nil || s.kind != kindSend {
 		return
 	}
 	id := s.id
 	if in.State == StateFenced {
-		a.dropAttempt(id)
-		a.again(now, ReasonOverload, in.RetryAfter, false)
+		c.closeAttemptStreams(id)
+		c.retry(now, ReasonOverload, in.RetryAfter, false)
 		return
 	}
-	a.lost(now, id)
+	c.abandonAttempt(now, id)
 }
 
-// lost gives up an attempt without proof.
-func (a *Coordinator) lost(now time.Time, id ID) {
-	a.unproven = true
-	a.dropAttempt(id)
-	a.again(now, ReasonAgentLost, 0, false)
+// abandonAttempt abandons an attempt that may have run.
+func (c *Coordinator) abandonAttempt(now time.Time, id ID) {
+	c.mayHaveRun = true
+	c.closeAttemptStreams(id)
+	c.retry(now, ReasonAgentLost, 0, false)
 }
 
-// dropAttempt forgets every stream of id.
-func (a *Coordinator) dropAttempt(id ID) {
-	for _, s := range slices.Clone(a.streams) {
+// closeAttemptStreams closes every stream of id.
+func (c *Coordinator) closeAttemptStreams(id ID) {
+	for _, s := range slices.Clone(c.streams) {
 		if s.id == id {
-			a.drop(s)
+			c.closeStream(s)
 		}
 	}
 }
 
-func (a *Coordinator) head(now time.Time, in Head) {
-	s := a.find(in.Stream)
-	if s == nil || s.kind == kindSettle || s.head {
+func (c *Coordinator) head(now time.Time, in Head) {
+	s := c.findStream(in.Stream)
+	if s == nil || s.kind == kindSettle || s.hasHead {
 		return
 	}
-	if in.ID != s.id || !a.continues(in) {
-		a.reset(now, in.Stream)
+	if in.ID != s.id || !c.isContinuation(in) {
+		c.reset(now, in.Stream)
 		return
 	}
-	s.head = true
-	s.active = now
-	a.phase = phaseWaiting
-	for _, o := range slices.Clone(a.streams) {
+	s.hasHead = true
+	s.lastActive = now
+	c.phase = phaseWaiting
+	for _, o := range slices.Clone(c.streams) {
 		if o.num != in.Stream {
-			a.drop(o)
+			c.closeStream(o)
 		}
 	}
-	if !a.answer.begun {
-		a.answer = answer{begun: true, length: in.Length, validator: in.Validator}
+	if !c.delivery.started {
+		c.delivery = delivery{started: true, length: in.Length, validator: in.Validator}
 	}
-	a.emit(Pass{Stream: in.Stream})
+	c.emit(Pass{Stream: in.Stream})
 }
 
-// continues reports whether a head may follow what was passed on so far.
-func (a *Coordinator) continues(in Head) bool {
-	if in.Offset != a.answer.passed {
+// isContinuation reports whether the body of in continues the delivered part of
+// the response.
+func (c *Coordinator) isContinuation(in Head) bool {
+	if in.Offset != c.delivery.offset {
 		return false
 	}
-	return !a.answer.begun || in.Length == a.answer.length && in.Validator == a.answer.validator
+	return !c.delivery.started || in.Length == c.delivery.length && in.Validator == c.delivery.validator
 }
 
-func (a *Coordinator) body(now time.Time, in Body) {
-	s := a.find(in.Stream)
-	if s == nil || !s.head {
+func (c *Coordinator) body(now time.Time, in Body) {
+	s := c.findStream(in.Stream)
+	if s == nil || !s.hasHead {
 		return
 	}
-	s.active = now
-	a.answer.passed += in.N
-	if a.answer.length >= 0 && a.answer.passed > a.answer.length {
-		a.finish(Result{Outcome: Unknown, Reason: ReasonTruncated})
+	s.lastActive = now
+	c.delivery.offset += in.N
+	if c.delivery.length >= 0 && c.delivery.offset > c.delivery.length {
+		c.finish(Result{Outcome: Unknown, Reason: ReasonTruncated})
 	}
 }
 
-func (a *Coordinator) end(now time.Time, in End) {
-	s := a.find(in.Stream)
-	if s == nil || !s.head {
+func (c *Coordinator) end(now time.Time, in End) {
+	s := c.findStream(in.Stream)
+	if s == nil || !s.hasHead {
 		return
 	}
-	whole := in.Total == a.answer.passed && (a.answer.length < 0 || a.answer.length == in.Total)
-	if !whole {
-		a.reset(now, in.Stream)
+	isComplete := in.Total == c.delivery.offset && (c.delivery.length < 0 || c.delivery.length == in.Total)
+	if !isComplete {
+		c.reset(now, in.Stream)
 		return
 	}
-	a.forget(in.Stream)
-	a.finish(Result{Outcome: Answered})
+	c.removeStream(in.Stream)
+	c.finish(Result{Outcome: Answered})
 }
 
-func (a *Coordinator) reset(now time.Time, num uint32) {
-	s := a.find(num)
+func (c *Coordinator) reset(now time.Time, num uint32) {
+	s := c.findStream(num)
 	if s == nil {
 		return
 	}
-	if s.kind == kindSettle && !a.cfg.Repeatable {
-		return // asked again when its time is over
+	if s.kind == kindSettle && !c.cfg.Repeatable {
+		return // the query is repeated after ReplyTimeout
 	}
-	was := *s
-	a.forget(num)
-	a.broken(now, was)
+	removed := *s
+	c.removeStream(num)
+	c.handleBrokenStream(now, removed)
 }
 
-// broken handles the loss of a stream that is already forgotten.
-func (a *Coordinator) broken(now time.Time, s stream) {
-	h := Assignment{ID: s.id, Target: s.target}
+// handleBrokenStream handles the loss of a stream that is already removed.
+func (c *Coordinator) handleBrokenStream(now time.Time, s stream) {
+	a := Assignment{ID: s.id, Target: s.target}
 	switch {
-	case a.cfg.Repeatable:
-		a.lost(now, s.id)
-	case s.kind == kindFetch && a.fetches >= maxFetches:
-		a.finish(Result{Outcome: Unknown, Reason: ReasonResponseDropped})
-	case !a.has(s.id, kindSend) && !a.has(s.id, kindSettle):
-		a.settle(now, h)
+	case c.cfg.Repeatable:
+		c.abandonAttempt(now, s.id)
+	case s.kind == kindFetch && c.fetchCount >= maxFetches:
+		c.finish(Result{Outcome: Unknown, Reason: ReasonResponseDropped})
+	case !c.hasStream(s.id, kindSend) && !c.hasStream(s.id, kindSettle):
+		c.settle(now, a)
 	}
 }
 
-func (a *Coordinator) settled(now time.Time, in Settled) {
-	s := a.find(in.Stream)
+func (c *Coordinator) settled(now time.Time, in Settled) {
+	s := c.findStream(in.Stream)
 	if s == nil || s.kind != kindSettle {
 		return
 	}
-	was := *s
-	h := Assignment{ID: was.id, Target: was.target}
+	settle := *s
+	a := Assignment{ID: settle.id, Target: settle.target}
 	if in.State == StateRunning {
-		a.keepWaiting(now, in.Stream)
+		c.waitForRunning(now, in.Stream)
 		return
 	}
-	a.forget(in.Stream)
+	c.removeStream(in.Stream)
 	switch in.State {
 	case StateDone:
-		a.dropAttempt(was.id)
-		a.fetchDone(now, h, in.HasResponse)
+		c.closeAttemptStreams(settle.id)
+		c.fetchResponse(now, a, in.HasResponse)
 	case StateFenced:
-		a.dropAttempt(was.id)
-		a.fenced = was.id
-		a.again(now, ReasonAgentLost, 0, a.sends == 0)
+		c.closeAttemptStreams(settle.id)
+		c.fencedID = settle.id
+		c.retry(now, ReasonAgentLost, 0, c.sendCount == 0)
 	default:
-		a.lost(now, was.id)
+		c.abandonAttempt(now, settle.id)
 	}
 }
 
-// keepWaiting leaves a running attempt alone for a while. Where its own stream
-// is gone the settle exchange is repeated when it is due.
-func (a *Coordinator) keepWaiting(now time.Time, num uint32) {
-	id := a.find(num).id
-	if a.has(id, kindSend) {
-		a.forget(num)
+// waitForRunning waits for an attempt that still runs. If its send stream has
+// ended, the Settle is repeated after ReplyTimeout.
+func (c *Coordinator) waitForRunning(now time.Time, num uint32) {
+	id := c.findStream(num).id
+	if c.hasStream(id, kindSend) {
+		c.removeStream(num)
 		return
 	}
-	a.find(num).active = now
+	c.findStream(num).lastActive = now
 }
 
-func (a *Coordinator) fetchDone(now time.Time, h Assignment, held bool) {
+func (c *Coordinator) fetchResponse(now time.Time, a Assignment, hasResponse bool) {
 	switch {
-	case held:
-		a.fetch(now, h)
-	case a.cfg.Repeatable:
-		a.lost(now, h.ID)
+	case hasResponse:
+		c.fetch(now, a)
+	case c.cfg.Repeatable:
+		c.abandonAttempt(now, a.ID)
 	default:
-		a.finish(Result{Outcome: Unknown, Reason: ReasonResponseDropped})
+		c.finish(Result{Outcome: Unknown, Reason: ReasonResponseDropped})
 	}
 }
