--- a/core/attempt/types.go
+++ b/core/attempt/types.go
@@ -88,10 +88,10 @@
 
 var reasonNames = [...]string{
 	"", "no backend server available", "overload", "deadline exceeded",
-	"cancelled by the caller", "agent lost", "an earlier request is still running",
-	"the request ran but its response is no longer stored", "response truncated",
-	"idempotency key used for another request", "replicas of the idempotency key unavailable",
-	"idempotency key older than the stored history", "idempotency key not a current UUID of version 7",
+	"cancelled by the caller", "agent lost", "an earlier send is still running",
+	"it ran but its answer is no longer held", "answer truncated",
+	"idempotency key used for another request", "holders of the idempotency key unavailable",
+	"idempotency key older than the records", "idempotency key not a current UUID of version 7",
 }
 
 // String describes the reason.
