--- a/core/attempt/attempt.go
+++ b/core/attempt/attempt.go
@@ -85,8 +85,9 @@
 	triedServers []string
 	// current is the attempt that owns or claims the key, or was sent last.
 	current Assignment
-	// fencedID is the attempt that still owns the key although it is fenced.
-	fencedID ID
+	// replaceableID is the owner of the key that a further Claim or FenceKey
+	// replaces. By then it is fenced or was never sent.
+	replaceableID ID
 	// isAdopted is true while current belongs to an earlier request with the key.
 	isAdopted bool
 	// mayHaveRun is true if an attempt was abandoned without proof that it
@@ -201,7 +202,7 @@
 	c.keyCall.startedAt = now
 	c.emit(Claim{
 		Stream: c.keyCall.streamNum, ID: c.current.ID, Target: c.current.Target,
-		Replaces: c.fencedID, Age: now.Sub(c.receivedAt),
+		Replaces: c.replaceableID, Age: now.Sub(c.receivedAt),
 	})
 }
 
@@ -221,7 +222,7 @@
 func (c *Coordinator) handleClaimStatus(now time.Time, in Claimed) {
 	switch in.Status {
 	case ClaimGranted:
-		c.fencedID = c.current.ID
+		c.replaceableID = c.current.ID
 		if now.Sub(c.keyCall.startedAt) >= GrantTimeout {
 			c.sendClaim(now)
 			return
--- a/core/attempt/claim.go
+++ b/core/attempt/claim.go
@@ -17,7 +17,7 @@
 	ClaimGranted                        // the attempt owns the key
 	ClaimExists                         // another attempt owns the key
 	ClaimMismatch                       // the key was used for another request
-	ClaimFenced                         // NotRun was returned for the key; earlier requests are rejected
+	ClaimFenced                         // the key is fenced; requests received before the fence are rejected
 	ClaimTooOld                         // the key is older than KeyLifetime or than the replicas' history
 	ClaimInvalid                        // the time of the key is in the future
 )
@@ -50,9 +50,9 @@
 	Version view.Version `cbor:"5,keyasint"`
 	// Revision counts the changes; an entry with revision 0 is empty.
 	Revision uint64 `cbor:"6,keyasint"`
-	// Fenced is true if NotRun was returned for the key.
+	// Fenced is true if the key was fenced, as NotRun was returned for it.
 	Fenced bool `cbor:"7,keyasint"`
-	// FencedAge is the time since the last fence. It is set in messages only.
+	// FencedAge is the time since the last fence of the key. It is set in messages only.
 	FencedAge time.Duration `cbor:"8,keyasint"`
 }
 
@@ -67,7 +67,7 @@
 
 // ClaimRequest claims a key for Owner at the key's primary. If Fence is set, it
 // instead fences the key: the primary then rejects every request with the key
-// that a gateway has received before.
+// that a gateway has received before. Replaces is as in Claim.
 type ClaimRequest struct {
 	Key      string        `cbor:"1,keyasint"`
 	KeyTime  UnixMillis    `cbor:"2,keyasint"`
@@ -245,8 +245,8 @@
 func (c *Claims) History(now time.Time) History {
 	c.expire(now)
 	h := History{Span: now.Sub(c.historyStart)}
-	for _, e := range c.previous {
-		h.Views = append(h.Views, HistoricView{View: e.selector.view, Age: now.Sub(e.replacedAt)})
+	for _, superseded := range c.previous {
+		h.Views = append(h.Views, HistoricView{View: superseded.selector.view, Age: now.Sub(superseded.replacedAt)})
 	}
 	if c.current != nil {
 		h.Views = append(h.Views, HistoricView{View: c.current.view})
--- a/core/attempt/claim_test.go
+++ b/core/attempt/claim_test.go
@@ -26,8 +26,8 @@
 		c.startAgent(fmt.Sprint("s", i), 1)
 	}
 	c.view = testView(1, n, nil)
-	for _, h := range c.claims {
-		h.SetView(t0, c.view)
+	for _, claims := range c.claims {
+		claims.SetView(t0, c.view)
 	}
 	c.now = t0.Add(time.Minute)
 	return c
@@ -78,8 +78,8 @@
 	if in.KeyTime == 0 {
 		in.KeyTime = UnixMillisOf(c.now)
 	}
-	h := c.claims[primary]
-	c.perform(h, h.Claim(c.now, 1, in))
+	claims := c.claims[primary]
+	c.perform(claims, claims.Claim(c.now, 1, in))
 	return c.replies[len(c.replies)-1]
 }
 
@@ -169,9 +169,9 @@
 			is.Equal(c.claim(primary, ClaimRequest{Key: "k", Owner: owner(1)}).Status, ClaimGranted)
 			c.down[primary], c.down[backup] = tt.primaryLost, tt.backupLost
 			c.view = testView(2, 4, c.down)
-			for name, h := range c.claims {
+			for name, claims := range c.claims {
 				if !c.down[name] {
-					c.perform(h, h.SetView(c.now, c.view))
+					c.perform(claims, claims.SetView(c.now, c.view))
 				}
 			}
 			newPrimary, _ := c.replicas("k")
@@ -206,12 +206,12 @@
 	c = newCluster(4)
 	c.view = testView(2, 4, map[string]bool{primary: true, backup: true})
 	primary, backup = c.replicas("k")
-	h := c.claims[primary]
-	h.SetView(c.now, c.view)
-	for _, act := range h.Claim(c.now, 1, in) {
+	claims := c.claims[primary]
+	claims.SetView(c.now, c.view)
+	for _, act := range claims.Claim(c.now, 1, in) {
 		if l, ok := act.(SendLookup); ok {
 			lookUp(primary)
-			c.perform(h, h.HandleLookupReply(c.now, l.Seq, LookupReply{Accepted: true}))
+			c.perform(claims, claims.HandleLookupReply(c.now, l.Seq, LookupReply{Accepted: true}))
 			is.Equal(c.replies, []ClaimReply{{}})
 			return
 		}
@@ -241,8 +241,8 @@
 	c.startAgent(primary, 2)
 	c.view = testView(2, 4, nil)
 	c.view.Members[c.view.Find(primary)].Incarnation = 2
-	for _, h := range c.claims {
-		h.SetView(c.now, c.view)
+	for _, claims := range c.claims {
+		claims.SetView(c.now, c.view)
 	}
 	is.Equal(c.claim(primary, ClaimRequest{Key: "k", KeyTime: keyTime, Owner: owner(2)}).Status, ClaimUnavailable)
 	c.claims[primary].AdoptHistory(c.now, c.claims[backup].History(c.now))
@@ -282,8 +282,8 @@
 	is := is.New(t)
 	c := newCluster(2)
 	primary, _ := c.replicas("k")
-	h := c.claims[primary]
-	h.Claim(c.now, 1, ClaimRequest{Key: "k", KeyTime: UnixMillisOf(c.now), Owner: owner(1)}) // the backup never replies
-	is.Equal(len(h.Tick(c.now)), 0)
-	is.Equal(h.Tick(c.now.Add(time.Second)), []ClaimAction{ReplyClaim{RequestID: 1}})
+	claims := c.claims[primary]
+	claims.Claim(c.now, 1, ClaimRequest{Key: "k", KeyTime: UnixMillisOf(c.now), Owner: owner(1)}) // the backup never replies
+	is.Equal(len(claims.Tick(c.now)), 0)
+	is.Equal(claims.Tick(c.now.Add(time.Second)), []ClaimAction{ReplyClaim{RequestID: 1}})
 }
--- a/core/attempt/claimop.go
+++ b/core/attempt/claimop.go
@@ -86,26 +86,26 @@
 	return c.actions
 }
 
-func (c *Claims) startOp(now time.Time, w queuedClaim) {
-	if o := c.ops[w.request.Key]; o != nil {
-		o.queue = append(o.queue, w)
+func (c *Claims) startOp(now time.Time, queued queuedClaim) {
+	if o := c.ops[queued.request.Key]; o != nil {
+		o.queue = append(o.queue, queued)
 		return
 	}
-	if status, rejected := c.rejectionStatus(now, w.request); rejected {
-		c.sendReply(w.requestID, ClaimReply{Status: status})
+	if status, rejected := c.rejectionStatus(now, queued.request); rejected {
+		c.sendReply(queued.requestID, ClaimReply{Status: status})
 		return
 	}
-	if w.request.Fence && len(c.slots) >= c.cfg.MaxEntries/2 && c.slots[w.request.Key] == nil {
-		c.sendReply(w.requestID, ClaimReply{})
+	if queued.request.Fence && len(c.slots) >= c.cfg.MaxEntries/2 && c.slots[queued.request.Key] == nil {
+		c.sendReply(queued.requestID, ClaimReply{})
 		return
 	}
-	s := c.ensureSlot(w.request.Key, w.request.KeyTime)
+	s := c.ensureSlot(queued.request.Key, queued.request.KeyTime)
 	if s == nil || s.minVersion.Newer(c.current.view.Version) {
-		c.sendReply(w.requestID, ClaimReply{})
+		c.sendReply(queued.requestID, ClaimReply{})
 		return
 	}
-	o := &operation{queuedClaim: w, startedAt: now, version: c.current.view.Version, openLookups: make(map[uint64]int)}
-	c.ops[w.request.Key] = o
+	o := &operation{queuedClaim: queued, startedAt: now, version: c.current.view.Version, openLookups: make(map[uint64]int)}
+	c.ops[queued.request.Key] = o
 	if s.minVersion == o.version {
 		c.decide(now, o)
 		return
@@ -132,10 +132,10 @@
 	o.newest = s.exportEntry(now)
 	currentPair, _ := c.current.replicas(o.request.Key)
 	seen := []replicaPair{currentPair}
-	for _, e := range c.previous {
-		p, ok := e.selector.replicas(o.request.Key)
+	for _, superseded := range c.previous {
+		p, ok := superseded.selector.replicas(o.request.Key)
 		isMember := p.primary == c.cfg.Self || p.backup == c.cfg.Self
-		if !ok || isMember || slices.Contains(seen, p) || c.isRetired(e, o.request.KeyTime) {
+		if !ok || isMember || slices.Contains(seen, p) || c.isRetired(superseded, o.request.KeyTime) {
 			continue
 		}
 		seen = append(seen, p)
@@ -150,8 +150,8 @@
 
 // isRetired reports whether no agent acts on the view e any longer when a key
 // with this time is first used.
-func (c *Claims) isRetired(e supersededView, keyTime UnixMillis) bool {
-	return keyTime.Time().Add(-c.cfg.MaxClockSkew).After(e.replacedAt.Add(c.cfg.ViewLag))
+func (c *Claims) isRetired(superseded supersededView, keyTime UnixMillis) bool {
+	return keyTime.Time().Add(-c.cfg.MaxClockSkew).After(superseded.replacedAt.Add(c.cfg.ViewLag))
 }
 
 func (c *Claims) sendLookup(o *operation, t Target) {
@@ -316,8 +316,8 @@
 	}
 	delete(c.ops, o.request.Key)
 	c.sendReply(o.requestID, reply)
-	for i, w := range o.queue {
-		c.startOp(now, w)
+	for i, queued := range o.queue {
+		c.startOp(now, queued)
 		if next := c.ops[o.request.Key]; next != nil {
 			next.queue = append(next.queue, o.queue[i+1:]...)
 			return
--- a/core/attempt/ending.go
+++ b/core/attempt/ending.go
@@ -3,8 +3,8 @@
 import "time"
 
 // retry routes the request to another backend server if the limits allow it, and
-// ends it otherwise. The caller must have set mayHaveRun if an earlier attempt
-// may have run.
+// ends it otherwise. mayHaveRun must already be set if an earlier attempt may
+// have run.
 func (c *Coordinator) retry(now time.Time, reason Reason, retryAfter time.Duration, bypassBudget bool) {
 	if len(c.streams) > 0 {
 		return // the other copy of a hedged request continues
@@ -41,7 +41,7 @@
 	c.phase = phaseFencing
 	c.keyCall.streamNum = c.nextStreamNum()
 	c.keyCall.startedAt = now
-	c.emit(FenceKey{Stream: c.keyCall.streamNum, Replaces: c.fencedID})
+	c.emit(FenceKey{Stream: c.keyCall.streamNum, Replaces: c.replaceableID})
 }
 
 func (c *Coordinator) handleFenceStatus(now time.Time, in Claimed) {
--- a/core/attempt/example_test.go
+++ b/core/attempt/example_test.go
@@ -13,7 +13,7 @@
 	now := time.Unix(0, 0)
 	target := attempt.Target{Server: "desk-1", Incarnation: 7}
 	id := attempt.ID{Gateway: "entry-1", Run: 1, Sequence: 1}
-	a := attempt.New(attempt.Config{
+	coordinator := attempt.New(attempt.Config{
 		Deadline:     now.Add(10 * time.Second),
 		SettleAfter:  time.Second,
 		StallTimeout: time.Second,
@@ -31,7 +31,7 @@
 		attempt.End{Stream: 3, Total: 2},
 	}
 	for _, in := range inputs {
-		for _, act := range a.Step(now, in) {
+		for _, act := range coordinator.Step(now, in) {
 			fmt.Printf("%T\n", act)
 			if f, ok := act.(attempt.Finish); ok {
 				fmt.Println(f.Result.Outcome)
--- a/core/attempt/message.go
+++ b/core/attempt/message.go
@@ -27,7 +27,7 @@
 	Status ClaimStatus
 	// Owner is the attempt that owns the key, if Status is ClaimExists.
 	Owner Assignment
-	// RetryAfter is set if Status is ClaimHeldBack.
+	// RetryAfter is set if Status is ClaimFenced.
 	RetryAfter time.Duration
 }
 
@@ -56,8 +56,8 @@
 	Validator string
 }
 
-// Body reports N further bytes of a response body. N is 0 if the stream made
-// progress because the caller accepted data.
+// Body reports N further bytes of a response body. N is 0 if the caller accepted
+// data, so that a slow caller does not count as a stall of the agent.
 type Body struct {
 	Stream uint32
 	N      int64
@@ -112,7 +112,8 @@
 	Stream uint32
 	ID     ID
 	Target Target
-	// Replaces is the fenced attempt that owned the key, or zero.
+	// Replaces is the owner of the key that ID replaces, or zero. It is fenced
+	// or was never sent.
 	Replaces ID
 	// Age is the time since the gateway received the request.
 	Age time.Duration
@@ -122,7 +123,7 @@
 // gateway received earlier is rejected, so that NotRun remains true.
 type FenceKey struct {
 	Stream uint32
-	// Replaces is the fenced attempt that owns the key, or zero.
+	// Replaces is as in Claim.
 	Replaces ID
 }
 
--- a/core/attempt/record.go
+++ b/core/attempt/record.go
@@ -38,7 +38,7 @@
 // Response is a complete response of a backend server.
 type Response struct {
 	Status int
-	// Header holds the header fields in the encoding of the caller of Registry.
+	// Header holds the encoded header fields. Registry does not interpret them.
 	Header []byte
 	Body   []byte
 }
@@ -99,8 +99,8 @@
 // ResponseBytes returns the size of the stored responses.
 func (r *Registry) ResponseBytes() int { return r.responseBytes }
 
-// Begin decides whether an attempt that arrived may run. After VerdictRun the
-// caller must report its end by Complete, Fail or Fence.
+// Begin decides whether an attempt that arrived may run. After VerdictRun its
+// end must be reported by Complete, Fail or Fence.
 func (r *Registry) Begin(now time.Time, in Arrival) Verdict {
 	r.Expire(now)
 	if existing := r.byID[in.ID]; existing != nil && existing.state == StateFenced {
@@ -119,10 +119,10 @@
 		r.addFenced(now, in.ID)
 		return VerdictFull
 	}
-	e := &record{id: in.ID, state: StateRunning, key: in.Key}
-	r.byID[in.ID] = e
+	rec := &record{id: in.ID, state: StateRunning, key: in.Key}
+	r.byID[in.ID] = rec
 	if in.Key != "" {
-		r.byKey[in.Key] = e
+		r.byKey[in.Key] = rec
 	}
 	return VerdictRun
 }
@@ -143,23 +143,23 @@
 
 // addFenced fences an attempt that has no record.
 func (r *Registry) addFenced(now time.Time, id ID) {
-	e := &record{id: id}
-	r.byID[id] = e
-	r.endRecord(now, e, StateFenced)
+	rec := &record{id: id}
+	r.byID[id] = rec
+	r.endRecord(now, rec, StateFenced)
 }
 
 // endRecord changes e to a state in which it does not run.
-func (r *Registry) endRecord(now time.Time, e *record, state State) {
-	e.state = state
-	e.endedAt = now
+func (r *Registry) endRecord(now time.Time, rec *record, state State) {
+	rec.state = state
+	rec.endedAt = now
 	if state != StateFenced {
-		r.ended = append(r.ended, e)
+		r.ended = append(r.ended, rec)
 		return
 	}
-	if r.byKey[e.key] == e {
-		delete(r.byKey, e.key)
+	if r.byKey[rec.key] == rec {
+		delete(r.byKey, rec.key)
 	}
-	r.fenced = append(r.fenced, e)
+	r.fenced = append(r.fenced, rec)
 	if len(r.fenced) > r.cfg.MaxFences {
 		r.evict(r.fenced[0])
 		r.fenced = r.fenced[1:]
@@ -167,43 +167,43 @@
 }
 
 func (r *Registry) findRunning(id ID) *record {
-	e := r.byID[id]
-	if e == nil || e.state != StateRunning {
+	rec := r.byID[id]
+	if rec == nil || rec.state != StateRunning {
 		return nil
 	}
-	return e
+	return rec
 }
 
-// Complete records the end of a running attempt and its response. The response is
-// not stored if it is nil or larger than MaxResponseBytes.
+// Complete records the end of a running attempt and its response. If the response
+// is nil or larger than MaxResponseBytes, only the attempt's end is recorded.
 func (r *Registry) Complete(now time.Time, id ID, response *Response) {
-	e := r.findRunning(id)
-	if e == nil {
+	rec := r.findRunning(id)
+	if rec == nil {
 		return
 	}
 	if response != nil && response.size() <= r.cfg.MaxResponseBytes {
-		e.response = response
+		rec.response = response
 		r.responseBytes += response.size()
 	}
-	r.endRecord(now, e, StateDone)
+	r.endRecord(now, rec, StateDone)
 	r.evictResponses()
 }
 
 // Fail records that a running attempt failed midway: it may have had effects.
 func (r *Registry) Fail(now time.Time, id ID) {
-	if e := r.findRunning(id); e != nil {
-		r.endRecord(now, e, StateUnknown)
+	if rec := r.findRunning(id); rec != nil {
+		r.endRecord(now, rec, StateUnknown)
 	}
 }
 
 // Fence records that an attempt was removed before it started. It reports
 // whether the attempt is proven not to have run.
 func (r *Registry) Fence(now time.Time, id ID) bool {
-	e := r.findRunning(id)
-	if e == nil {
+	rec := r.findRunning(id)
+	if rec == nil {
 		return false
 	}
-	r.endRecord(now, e, StateFenced)
+	r.endRecord(now, rec, StateFenced)
 	return true
 }
 
@@ -211,8 +211,8 @@
 // attempt that has not arrived.
 func (r *Registry) Settle(now time.Time, id ID, incarnation view.Incarnation) (State, *Response) {
 	r.Expire(now)
-	if e := r.byID[id]; e != nil {
-		return e.state, e.response
+	if rec := r.byID[id]; rec != nil {
+		return rec.state, rec.response
 	}
 	if incarnation != r.cfg.Incarnation || r.isEvicted(id) {
 		return StateUnknown, nil
@@ -237,30 +237,30 @@
 	return list[n:]
 }
 
-func (r *Registry) evict(e *record) {
-	if e.response != nil {
-		r.responseBytes -= e.response.size()
+func (r *Registry) evict(rec *record) {
+	if rec.response != nil {
+		r.responseBytes -= rec.response.size()
 	}
-	if r.byKey[e.key] == e {
-		delete(r.byKey, e.key)
+	if r.byKey[rec.key] == rec {
+		delete(r.byKey, rec.key)
 	}
-	delete(r.byID, e.id)
-	w := r.watermarks[e.id.Gateway]
-	if e.id.Run > w.run || e.id.Run == w.run && e.id.Sequence > w.sequence {
-		r.watermarks[e.id.Gateway] = watermark{run: e.id.Run, sequence: e.id.Sequence}
+	delete(r.byID, rec.id)
+	w := r.watermarks[rec.id.Gateway]
+	if rec.id.Run > w.run || rec.id.Run == w.run && rec.id.Sequence > w.sequence {
+		r.watermarks[rec.id.Gateway] = watermark{run: rec.id.Run, sequence: rec.id.Sequence}
 	}
 }
 
 // evictResponses removes the oldest responses until the rest fit MaxTotalBytes.
 // Their attempts stay recorded.
 func (r *Registry) evictResponses() {
-	for _, e := range r.ended {
+	for _, rec := range r.ended {
 		if r.responseBytes <= r.cfg.MaxTotalBytes {
 			return
 		}
-		if e.response != nil {
-			r.responseBytes -= e.response.size()
-			e.response = nil
+		if rec.response != nil {
+			r.responseBytes -= rec.response.size()
+			rec.response = nil
 		}
 	}
 }
--- a/core/attempt/schedule_test.go
+++ b/core/attempt/schedule_test.go
@@ -13,12 +13,12 @@
 func scheduleRequests(s *sim, keys int) {
 	for i := range keys {
 		key := fmt.Sprint("k", i)
-		s.after(s.randomDuration(40*time.Second), func() { send(s, key, s.now, 4) })
+		s.after(s.randomDuration(40*time.Second), func() { sendRequest(s, key, s.now, 4) })
 	}
 }
 
-func send(s *sim, key string, keyTime time.Time, remaining int) {
-	resend := func() { send(s, key, keyTime, remaining-1) }
+func sendRequest(s *sim, key string, keyTime time.Time, remaining int) {
+	resend := func() { sendRequest(s, key, keyTime, remaining-1) }
 	if remaining > 1 && s.randomBool(0.2) {
 		s.after(s.randomDuration(4*time.Second), resend)
 	}
@@ -67,10 +67,10 @@
 				if len(s.violations) > 0 || countDuplicateRuns(s) > 0 {
 					t.Fatalf("seed %d: %v, %d keys ran more than once", seed, s.violations, countDuplicateRuns(s))
 				}
-				n := newSim(uint64(seed), tt.faults, true)
-				scheduleRequests(n, 60)
-				n.run(5 * time.Minute)
-				duplicateRuns += countDuplicateRuns(n)
+				withoutClaims := newSim(uint64(seed), tt.faults, true)
+				scheduleRequests(withoutClaims, 60)
+				withoutClaims.run(5 * time.Minute)
+				duplicateRuns += countDuplicateRuns(withoutClaims)
 			}
 			t.Logf("unknown, answered, not run: %v; keys that ran more than once without claims: %d", outcomes, duplicateRuns)
 			is.True(outcomes[Answered] > 0)
--- a/core/attempt/sim_test.go
+++ b/core/attempt/sim_test.go
@@ -51,6 +51,7 @@
 	notRunAt   map[string]time.Time
 	outcomes   [3]int
 	violations []string
+	// skipClaims sends requests without claiming their keys.
 	skipClaims bool
 }
 
@@ -70,9 +71,9 @@
 }
 
 const (
-	simLifetime = 10 * time.Minute
-	simSkew     = 50 * time.Millisecond
-	simLag      = 3 * time.Second
+	simLifetime     = 10 * time.Minute
+	simMaxClockSkew = 50 * time.Millisecond
+	simViewLag      = 3 * time.Second
 )
 
 func newSim(seed uint64, f faults, skipClaims bool) *sim {
@@ -104,7 +105,7 @@
 		Incarnation: inc, Retention: simLifetime, MaxAttempts: 1000, MaxFences: 1000, MaxResponseBytes: 100, MaxTotalBytes: 10000,
 	})
 	a.claims = NewClaims(s.now, ClaimsConfig{
-		Self: a.target, KeyLifetime: simLifetime, MaxClockSkew: simSkew, ViewLag: simLag, MaxEntries: 1000,
+		Self: a.target, KeyLifetime: simLifetime, MaxClockSkew: simMaxClockSkew, ViewLag: simViewLag, MaxEntries: 1000,
 		ReplyTimeout: 200 * time.Millisecond,
 	})
 	a.pending = make(map[uint64]func(ClaimReply))
@@ -131,10 +132,10 @@
 	peer := s.agents[(a.index+1)%len(s.agents)].claims.History(s.now)
 	a.claims.AdoptHistory(s.now, peer)
 	for _, b := range s.agents {
-		s.after(s.randomDuration(simLag-100*time.Millisecond), func() { s.perform(b, b.claims.SetView(s.now, v)) })
+		s.after(s.randomDuration(simViewLag-100*time.Millisecond), func() { s.perform(b, b.claims.SetView(s.now, v)) })
 	}
 	for _, g := range s.gateways {
-		s.after(s.randomDuration(simLag), func() {
+		s.after(s.randomDuration(simViewLag), func() {
 			if v.Version.Newer(g.view.Version) {
 				g.view = v
 			}
@@ -273,13 +274,13 @@
 	case Settle:
 		lost := func() { r.feed(Reset{act.Stream}) }
 		s.callAgent(lost, act.Target, func(a *simAgent) {
-			st, ans := a.registry.Settle(s.now, act.ID, act.Target.Incarnation)
-			s.deliver(func() { r.feed(Settled{act.Stream, st, ans != nil}) }, lost)
+			state, response := a.registry.Settle(s.now, act.ID, act.Target.Incarnation)
+			s.deliver(func() { r.feed(Settled{act.Stream, state, response != nil}) }, lost)
 		})
 	case Fetch:
 		s.callAgent(func() { r.feed(Reset{act.Stream}) }, act.Target, func(a *simAgent) {
-			if _, ans := a.registry.Settle(s.now, act.ID, act.Target.Incarnation); ans != nil {
-				r.sendResponse(act.Stream, act.ID, ans, act.Offset)
+			if _, response := a.registry.Settle(s.now, act.ID, act.Target.Incarnation); response != nil {
+				r.sendResponse(act.Stream, act.ID, response, act.Offset)
 			}
 		})
 	case Finish:
@@ -307,9 +308,9 @@
 	primary, _ := Primary(r.key, r.gateway.view)
 	s.callAgent(func() {}, primary, func(a *simAgent) {
 		a.lastRequestID++
-		a.pending[a.lastRequestID] = func(rep ClaimReply) {
+		a.pending[a.lastRequestID] = func(reply ClaimReply) {
 			s.deliver(func() {
-				r.feed(Claimed{Stream: stream, Status: rep.Status, Owner: rep.Owner, RetryAfter: rep.RetryAfter})
+				r.feed(Claimed{Stream: stream, Status: reply.Status, Owner: reply.Owner, RetryAfter: reply.RetryAfter})
 			}, func() {})
 		}
 		s.perform(a, a.claims.Claim(s.now, a.lastRequestID, in))
@@ -319,21 +320,21 @@
 // handleSend handles a Send at an agent.
 func (r *simRequest) handleSend(a *simAgent, act Send) {
 	s, registry := r.sim, a.registry
-	reject := func(st State) {
-		s.deliver(func() { r.feed(Rejected{Stream: act.Stream, State: st}) }, func() { r.feed(Reset{act.Stream}) })
+	reject := func(state State) {
+		s.deliver(func() { r.feed(Rejected{Stream: act.Stream, State: state}) }, func() { r.feed(Reset{act.Stream}) })
 	}
-	v := registry.Begin(s.now, Arrival{
+	verdict := registry.Begin(s.now, Arrival{
 		ID: act.ID, Incarnation: act.Target.Incarnation, Key: r.key, Deadline: r.receivedAt.Add(8 * time.Second),
 	})
 	switch {
-	case v == VerdictRun && s.randomBool(s.faults.shedding):
+	case verdict == VerdictRun && s.randomBool(s.faults.shedding):
 		registry.Fence(s.now, act.ID)
 		reject(StateFenced)
 		return
-	case v == VerdictFenced:
+	case verdict == VerdictFenced:
 		reject(StateFenced)
 		return
-	case v != VerdictRun:
+	case verdict != VerdictRun:
 		reject(StateUnknown)
 		return
 	}
@@ -346,38 +347,38 @@
 			s.violations = append(s.violations, "ran after it was reported as not run: "+r.key)
 		}
 		s.after(s.randomDuration(400*time.Millisecond), func() {
-			ans := &Response{Body: []byte("answer to " + r.key)}
-			registry.Complete(s.now, act.ID, ans)
+			response := &Response{Body: []byte("answer to " + r.key)}
+			registry.Complete(s.now, act.ID, response)
 			if a.registry == registry {
-				r.sendResponse(act.Stream, act.ID, ans, act.Offset)
+				r.sendResponse(act.Stream, act.ID, response, act.Offset)
 			}
 		})
 	})
 }
 
 // sendResponse streams a response, which may be cut after its first half.
-func (r *simRequest) sendResponse(num uint32, id ID, ans *Response, offset int64) {
-	s, half := r.sim, (int64(len(ans.Body))+offset)/2
+func (r *simRequest) sendResponse(num uint32, id ID, response *Response, offset int64) {
+	s, half := r.sim, (int64(len(response.Body))+offset)/2
 	lost := func() { r.feed(Reset{num}) }
 	s.deliver(func() {
-		if st := r.coordinator.findStream(num); st == nil || st.hasHead {
+		if stream := r.coordinator.findStream(num); stream == nil || stream.hasHead {
 			return
 		}
-		r.feed(Head{Stream: num, ID: id, Length: int64(len(ans.Body)), Offset: offset})
-		r.deliverBody(num, ans.Body[offset:half])
+		r.feed(Head{Stream: num, ID: id, Length: int64(len(response.Body)), Offset: offset})
+		r.deliverBody(num, response.Body[offset:half])
 		if s.randomBool(s.faults.truncation) {
 			lost()
 			return
 		}
 		s.after(time.Millisecond, func() {
-			r.deliverBody(num, ans.Body[half:])
-			r.feed(End{Stream: num, Total: int64(len(ans.Body))})
+			r.deliverBody(num, response.Body[half:])
+			r.feed(End{Stream: num, Total: int64(len(response.Body))})
 		})
 	}, lost)
 }
 
 func (r *simRequest) deliverBody(num uint32, b []byte) {
-	if st := r.coordinator.findStream(num); st != nil && st.hasHead {
+	if stream := r.coordinator.findStream(num); stream != nil && stream.hasHead {
 		r.body += string(b)
 		r.feed(Body{Stream: num, N: int64(len(b))})
 	}
--- a/core/attempt/stream.go
+++ b/core/attempt/stream.go
@@ -204,7 +204,7 @@
 		c.fetchResponse(now, a, in.HasResponse)
 	case StateFenced:
 		c.closeAttemptStreams(settle.id)
-		c.fencedID = settle.id
+		c.replaceableID = settle.id
 		c.retry(now, ReasonAgentLost, 0, c.sendCount == 0)
 	default:
 		c.abandonAttempt(now, settle.id)
--- a/core/attempt/types.go
+++ b/core/attempt/types.go
@@ -7,6 +7,10 @@
 //   - Claims, at the primary and the backup of an Idempotency-Key: which attempt
 //     of all the requests with one key may run.
 //
+// An agent fences an attempt that has not started: the attempt never runs. The
+// primary of a key fences the key: it rejects the requests with the key that a
+// gateway received before the fence.
+//
 // Time is an argument. None of the types is safe for concurrent use.
 package attempt
 
@@ -46,7 +50,7 @@
 // Outcome is the outcome of a request as reported to its caller.
 type Outcome uint8
 
-// The outcomes.
+// The outcomes. Every request ends with one of them.
 const (
 	// Unknown: the request may have run, may be running or may not have run.
 	Unknown Outcome = iota
@@ -79,7 +83,7 @@
 	ReasonAgentLost              // the agent is unreachable or has restarted
 	ReasonStillRunning           // an earlier request with the key still runs
 	ReasonResponseDropped        // the request ran, but its response is no longer stored
-	ReasonTruncated              // the response does not match its announced length
+	ReasonTruncated              // the response body exceeds its announced length
 	ReasonKeyReused              // the key was used for another request
 	ReasonKeyUnavailable         // the replicas of the key cannot be reached
 	ReasonKeyTooOld              // the key is older than the stored history
@@ -94,7 +98,8 @@
 	"idempotency key older than the records", "idempotency key not a current UUID of version 7",
 }
 
-// String describes the reason.
+// String returns the title of the problem response. Callers see it, so the texts
+// do not change with the terms of the code.
 func (r Reason) String() string {
 	if int(r) < len(reasonNames) {
 		return reasonNames[r]
