--- a/core/roster/roster.go
+++ b/core/membership/roster.go
@@ -1,8 +1,8 @@
-// Package roster keeps the membership of a control group whole without
-// operators: it lets replicas vote that have caught up, and removes those that
-// another one has replaced. It never shrinks the voters below the wanted number
+// Package membership reconciles the membership of a control group without
+// operators: it promotes replicas that have caught up to voters, and removes those
+// that another one has replaced. It never shrinks the voters below the wanted number
 // and changes one member at a time.
-package roster
+package membership
 
 import (
 	"cmp"
--- a/core/roster/roster_test.go
+++ b/core/membership/roster_test.go
@@ -1,4 +1,4 @@
-package roster
+package membership
 
 import (
 	"testing"
--- a/internal/group/group.go
+++ b/internal/group/group.go
@@ -13,8 +13,8 @@
 	"github.com/joomcode/errorx"
 	"go.uber.org/zap"
 
+	"fulmarmount.org/core/membership"
 	"fulmarmount.org/core/quorum"
-	"fulmarmount.org/core/roster"
 	"fulmarmount.org/fulmarmount/internal/disk"
 	"fulmarmount.org/fulmarmount/internal/peer"
 	"fulmarmount.org/fulmarmount/internal/replica"
@@ -53,7 +53,7 @@
 	Seeds func() []netip.AddrPort
 	// Keep maintains the membership; the zero value promotes learners and
 	// removes none.
-	Keep roster.Options
+	Keep membership.Options
 	// Tick is the unit of the replica's time; 0 stands for the default.
 	Tick time.Duration
 	// Folder holds the durable state; empty keeps it in memory, for a replica
--- a/internal/group/group_test.go
+++ b/internal/group/group_test.go
@@ -18,8 +18,8 @@
 	"github.com/matryer/is"
 	"go.uber.org/zap"
 
+	"fulmarmount.org/core/membership"
 	"fulmarmount.org/core/quorum"
-	"fulmarmount.org/core/roster"
 	"fulmarmount.org/fulmarmount/internal/admin"
 	"fulmarmount.org/fulmarmount/internal/disk"
 	"fulmarmount.org/fulmarmount/internal/keys"
@@ -122,7 +122,7 @@
 	})
 	options := Options{
 		Name: p.Name, Addr: p.Addr, Cluster: "control", Peers: b.peers, Folder: b.path(p),
-		Keep:    roster.Options{Voters: 3, AbsentAfter: time.Second},
+		Keep:    membership.Options{Voters: 3, AbsentAfter: time.Second},
 		Machine: out.state, Pool: out.pool, Now: time.Now, Log: zap.NewNop(), open: b.openStore,
 	}
 	if b.joining {
--- a/internal/group/keep.go
+++ b/internal/group/keep.go
@@ -8,8 +8,8 @@
 	"github.com/joomcode/errorx"
 	"go.uber.org/zap"
 
+	"fulmarmount.org/core/membership"
 	"fulmarmount.org/core/quorum"
-	"fulmarmount.org/core/roster"
 	"fulmarmount.org/fulmarmount/internal/pace"
 	"fulmarmount.org/fulmarmount/internal/replica"
 	"fulmarmount.org/fulmarmount/internal/replicalink"
@@ -30,7 +30,7 @@
 // keepMembers maintains the membership while this replica leads.
 func (g *Group) keepMembers(ctx context.Context) {
 	began := g.options.Now()
-	var keeper *roster.Keeper
+	var keeper *membership.Keeper
 	pace.Every(ctx, keepInterval, func() {
 		n := g.current()
 		if n == nil {
@@ -42,7 +42,7 @@
 			return
 		}
 		if keeper == nil {
-			keeper = roster.New(g.options.Keep)
+			keeper = membership.New(g.options.Keep)
 		}
 		now := g.options.Now().Sub(began)
 		if change, ok := keeper.Next(now, stateOf(status)); ok {
@@ -51,12 +51,12 @@
 	})
 }
 
-func stateOf(s replica.Status) roster.State {
+func stateOf(s replica.Status) membership.State {
 	active := make(map[quorum.ReplicaID]bool, len(s.Progress))
 	for _, p := range s.Progress {
 		active[p.ID] = p.Active
 	}
-	return roster.State{
+	return membership.State{
 		Self: s.ID, Members: s.Membership.Members,
 		Active: func(id quorum.ReplicaID) bool { return active[id] },
 	}
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -9,7 +9,7 @@
 	"go.uber.org/fx"
 
 	"fulmarmount.org/core/fleet"
-	"fulmarmount.org/core/roster"
+	"fulmarmount.org/core/membership"
 	"fulmarmount.org/fulmarmount/internal/admin"
 	"fulmarmount.org/fulmarmount/internal/fleetstore"
 	"fulmarmount.org/fulmarmount/internal/group"
@@ -46,7 +46,7 @@
 		Cluster: o.Settings.Control.Cluster,
 		Peers:   peers,
 		Seeds:   o.joins(),
-		Keep:    roster.Options{Voters: voters(o.Settings.Control.Tolerate)},
+		Keep:    membership.Options{Voters: voters(o.Settings.Control.Tolerate)},
 		Tick:    o.Settings.Control.Tick,
 		Folder:  group.Folder(o.Settings.DataDir),
 		Machine: machine,
