--- a/core/spread/doc.go
+++ b/core/dissemination/doc.go
@@ -1,4 +1,4 @@
-// Package spread disseminates keyed, versioned items from one root through
+// Package dissemination distributes keyed, versioned items from one root through
 // relays to many daemons. Configuration entries and views of services are both
 // items.
 //
@@ -24,4 +24,4 @@
 //
 // No part opens a socket or reads a clock: callers pass messages and the time
 // since their own start.
-package spread
+package dissemination
--- a/core/spread/example_test.go
+++ b/core/dissemination/example_test.go
@@ -1,18 +1,18 @@
-package spread_test
+package dissemination_test
 
 import (
 	"fmt"
 	"math/rand/v2"
 	"time"
 
-	"fulmarmount.org/core/spread"
+	"fulmarmount.org/core/dissemination"
 )
 
 // One root and one daemon, connected by plain calls. The caller supplies the
 // time; nothing runs on its own.
 func Example() {
 	now := time.Second
-	root, err := spread.NewRoot(1, spread.NewStore(spread.StoreOptions{}), spread.SourceOptions{
+	root, err := dissemination.NewRoot(1, dissemination.NewStore(dissemination.StoreOptions{}), dissemination.SourceOptions{
 		BatchWindow: 200 * time.Millisecond,
 		Rand:        rand.New(rand.NewPCG(1, 1)),
 	})
@@ -20,16 +20,16 @@
 		fmt.Println(err)
 		return
 	}
-	sink := spread.NewSink(now, spread.NewStore(spread.StoreOptions{}), spread.SinkOptions{DaemonID: "balancer-1"})
+	sink := dissemination.NewSink(now, dissemination.NewStore(dissemination.StoreOptions{}), dissemination.SinkOptions{DaemonID: "balancer-1"})
 
-	const connection = spread.PeerID(1)
-	take := func(out spread.Output) []spread.UpstreamMessage {
+	const connection = dissemination.PeerID(1)
+	take := func(out dissemination.Output) []dissemination.UpstreamMessage {
 		for _, it := range out.Applied {
 			fmt.Printf("%s %v %s\n", it.Key, it.Version, it.Body)
 		}
 		return out.Messages
 	}
-	pass := func(queue []spread.UpstreamMessage) {
+	pass := func(queue []dissemination.UpstreamMessage) {
 		for ; len(queue) > 0; queue = queue[1:] {
 			for _, d := range root.Receive(now, connection, queue[0]) {
 				queue = append(queue, take(sink.Receive(now, d.Message))...)
@@ -37,7 +37,7 @@
 		}
 	}
 
-	at, err := root.Publish(spread.Item{Key: "service/7", Version: root.NextVersion(), Body: []byte("weight=100")})
+	at, err := root.Publish(dissemination.Item{Key: "service/7", Version: root.NextVersion(), Body: []byte("weight=100")})
 	if err != nil {
 		fmt.Println(err)
 		return
--- a/core/spread/repair.go
+++ b/core/dissemination/repair.go
@@ -1,4 +1,4 @@
-package spread
+package dissemination
 
 // maxAhead bounds the items reported as newer than the Source's.
 const maxAhead = 64
--- a/core/spread/traps_test.go
+++ b/core/dissemination/traps_test.go
@@ -1,4 +1,4 @@
-package spread
+package dissemination
 
 import (
 	"fmt"
--- a/internal/proto/item.go
+++ b/internal/proto/item.go
@@ -6,7 +6,7 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/joomcode/errorx"
 
-	"fulmarmount.org/core/spread"
+	"fulmarmount.org/core/dissemination"
 	"fulmarmount.org/core/view"
 )
 
@@ -29,22 +29,22 @@
 func ViewKey(name string) string { return viewPrefix + name }
 
 // ServiceItem encodes a service's configuration.
-func ServiceItem(s Service, version view.Version) (spread.Item, error) {
+func ServiceItem(s Service, version view.Version) (dissemination.Item, error) {
 	return item(ServiceKey(s.Name), version, s)
 }
 
 // ViewItem encodes the view of the service of a given name. The item's version
 // orders it among all items; the view has a version of its own.
-func ViewItem(name string, version view.Version, v *view.View) (spread.Item, error) {
+func ViewItem(name string, version view.Version, v *view.View) (dissemination.Item, error) {
 	return item(ViewKey(name), version, v)
 }
 
-func item(key string, version view.Version, content any) (spread.Item, error) {
+func item(key string, version view.Version, content any) (dissemination.Item, error) {
 	body, err := cbor.Marshal(content)
 	if err != nil {
-		return spread.Item{}, BadItem.Wrap(err, "encode %q", key)
+		return dissemination.Item{}, BadItem.Wrap(err, "encode %q", key)
 	}
-	return spread.Item{Key: key, Version: version, Body: body}, nil
+	return dissemination.Item{Key: key, Version: version, Body: body}, nil
 }
 
 // Update is what has come in force at a daemon.
@@ -57,7 +57,7 @@
 }
 
 // Add decodes an item into u.
-func (u *Update) Add(it spread.Item) error {
+func (u *Update) Add(it dissemination.Item) error {
 	switch {
 	case strings.HasPrefix(it.Key, servicePrefix) && it.Deleted:
 		u.Removed = append(u.Removed, strings.TrimPrefix(it.Key, servicePrefix))
--- a/internal/proto/proto.go
+++ b/internal/proto/proto.go
@@ -15,7 +15,8 @@
 const (
 	// Announce: an agent to control; view.Announcement one way, AnnounceReply back.
 	Announce = "announce"
-	// Subscribe: a daemon to control; spread.Up one way, spread.Down back.
+	// Subscribe: a daemon to control; dissemination.UpstreamMessage one way,
+	// dissemination.DownstreamMessage back.
 	Subscribe = "subscribe"
 	// Tunnel: a balancer to an agent; TunnelOpen, TunnelReply, then raw bytes
 	// both ways.
--- a/internal/role/control/configuration.go
+++ b/internal/role/control/configuration.go
@@ -6,9 +6,9 @@
 
 	"go.uber.org/zap"
 
+	"fulmarmount.org/core/dissemination"
 	"fulmarmount.org/core/fleet"
 	"fulmarmount.org/core/lease"
-	"fulmarmount.org/core/spread"
 	"fulmarmount.org/core/view"
 	"fulmarmount.org/fulmarmount/internal/pace"
 	"fulmarmount.org/fulmarmount/internal/proto"
@@ -194,7 +194,7 @@
 	}
 	for _, s := range services {
 		if before, ok := old[s.Name]; !ok || !before.Equal(&s) {
-			c.check(c.publisher.Publish(func(at view.Version) (spread.Item, error) { return proto.ServiceItem(s, at) }))
+			c.check(c.publisher.Publish(func(at view.Version) (dissemination.Item, error) { return proto.ServiceItem(s, at) }))
 		}
 	}
 }
--- a/internal/role/control/daemons.go
+++ b/internal/role/control/daemons.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"fulmarmount.org/core/spread"
+	"fulmarmount.org/core/dissemination"
 	"fulmarmount.org/fulmarmount/internal/admin"
 	"fulmarmount.org/fulmarmount/internal/keys"
 	"fulmarmount.org/fulmarmount/internal/peer"
@@ -19,7 +19,7 @@
 // publication tells at which position a configuration was published.
 type publication struct {
 	revision uint64
-	position spread.Position
+	position dissemination.Position
 }
 
 // settleTime is how long the views that a configuration changes may take to be
@@ -48,14 +48,14 @@
 
 // positionOf returns a position at which revision is in force, which may be a
 // later one. It is false where revision is not published here yet.
-func (c *term) positionOf(revision uint64) (spread.Position, bool) {
+func (c *term) positionOf(revision uint64) (dissemination.Position, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	i, _ := slices.BinarySearchFunc(c.published, revision, func(p publication, revision uint64) int {
 		return cmp.Compare(p.revision, revision)
 	})
 	if i == len(c.published) {
-		return spread.Position{}, false
+		return dissemination.Position{}, false
 	}
 	return c.published[i].position, true
 }
@@ -87,13 +87,13 @@
 
 func (c *term) progress(revision uint64, limit int) admin.Progress {
 	position, published := c.positionOf(revision)
-	spread := c.publisher.Progress(position)
-	progress := admin.Progress{Revision: revision, Daemons: spread.Total}
+	status := c.publisher.Progress(position)
+	progress := admin.Progress{Revision: revision, Daemons: status.Total}
 	if !published {
 		return progress
 	}
-	progress.InForce = spread.Applied
-	for _, l := range spread.Laggards[:min(len(spread.Laggards), limit)] {
+	progress.InForce = status.Applied
+	for _, l := range status.Laggards[:min(len(status.Laggards), limit)] {
 		progress.Missing = append(progress.Missing, admin.Daemon{Name: l.ID, InForce: l.Applied.String(), Departed: l.Disconnected})
 	}
 	return progress
--- a/internal/role/control/term.go
+++ b/internal/role/control/term.go
@@ -7,9 +7,9 @@
 
 	"go.uber.org/zap"
 
+	"fulmarmount.org/core/dissemination"
 	"fulmarmount.org/core/fleet"
 	"fulmarmount.org/core/lease"
-	"fulmarmount.org/core/spread"
 	"fulmarmount.org/core/view"
 	"fulmarmount.org/fulmarmount/internal/keys"
 	"fulmarmount.org/fulmarmount/internal/pace"
@@ -171,5 +171,5 @@
 	}
 	c.options.Log.Info("Published a view.", zap.String("service", name),
 		zap.Stringer("version", v.Version), zap.Int("members", len(v.Members)))
-	c.check(c.publisher.Publish(func(at view.Version) (spread.Item, error) { return proto.ViewItem(name, at, v) }))
+	c.check(c.publisher.Publish(func(at view.Version) (dissemination.Item, error) { return proto.ViewItem(name, at, v) }))
 }
--- a/internal/subscribe/publisher.go
+++ b/internal/subscribe/publisher.go
@@ -8,7 +8,7 @@
 
 	"github.com/joomcode/errorx"
 
-	"fulmarmount.org/core/spread"
+	"fulmarmount.org/core/dissemination"
 	"fulmarmount.org/core/view"
 	"fulmarmount.org/fulmarmount/internal/keys"
 	"fulmarmount.org/fulmarmount/internal/pace"
@@ -57,16 +57,16 @@
 	started time.Time
 
 	mu     sync.Mutex
-	root   *spread.Root
-	queues map[spread.PeerID]chan spread.DownstreamMessage
-	peers  spread.PeerID
+	root   *dissemination.Root
+	queues map[dissemination.PeerID]chan dissemination.DownstreamMessage
+	peers  dissemination.PeerID
 	// changed asks for a batch before the next tick.
 	changed chan struct{}
 }
 
 // NewPublisher returns a Publisher without items.
 func NewPublisher(o PublisherOptions) (*Publisher, error) {
-	root, err := spread.NewRoot(o.Epoch, spread.NewStore(spread.StoreOptions{}), spread.SourceOptions{
+	root, err := dissemination.NewRoot(o.Epoch, dissemination.NewStore(dissemination.StoreOptions{}), dissemination.SourceOptions{
 		BatchWindow:    batchWindow,
 		MaxSubscribers: maxSubscribers,
 		Rand:           rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
@@ -78,7 +78,7 @@
 		options: o,
 		started: o.Now(),
 		root:    root,
-		queues:  make(map[spread.PeerID]chan spread.DownstreamMessage),
+		queues:  make(map[dissemination.PeerID]chan dissemination.DownstreamMessage),
 		changed: make(chan struct{}, 1),
 	}, nil
 }
@@ -87,7 +87,7 @@
 
 // Publish numbers an item and hands it to the subscribers. The item is made by
 // a function of the version that it is to carry.
-func (p *Publisher) Publish(item func(view.Version) (spread.Item, error)) error {
+func (p *Publisher) Publish(item func(view.Version) (dissemination.Item, error)) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	it, err := item(p.root.NextVersion())
@@ -98,7 +98,7 @@
 }
 
 // publish numbers an item and asks for a batch. The caller holds the lock.
-func (p *Publisher) publish(it spread.Item) error {
+func (p *Publisher) publish(it dissemination.Item) error {
 	_, err := p.root.Publish(it)
 	if err != nil {
 		return err
@@ -117,11 +117,11 @@
 	if _, ok := p.root.Store().Get(key); !ok {
 		return nil
 	}
-	return p.publish(spread.Item{Key: key, Version: p.root.NextVersion(), Deleted: true})
+	return p.publish(dissemination.Item{Key: key, Version: p.root.NextVersion(), Deleted: true})
 }
 
 // Position returns the position of the newest change.
-func (p *Publisher) Position() spread.Position {
+func (p *Publisher) Position() dissemination.Position {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.root.Store().Position()
@@ -129,7 +129,7 @@
 
 // Progress tells at how many daemons a position is in force, and names some of
 // the others.
-func (p *Publisher) Progress(at spread.Position) spread.Progress {
+func (p *Publisher) Progress(at dissemination.Position) dissemination.Progress {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.root.Progress(at)
@@ -200,7 +200,7 @@
 		send(ctx, stream, queue)
 	}()
 	for {
-		var m spread.UpstreamMessage
+		var m dissemination.UpstreamMessage
 		if err := stream.Recv(&m); err != nil {
 			return
 		}
@@ -208,23 +208,23 @@
 	}
 }
 
-func (p *Publisher) connect() (spread.PeerID, <-chan spread.DownstreamMessage) {
+func (p *Publisher) connect() (dissemination.PeerID, <-chan dissemination.DownstreamMessage) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.peers++
-	queue := make(chan spread.DownstreamMessage, queueLength)
+	queue := make(chan dissemination.DownstreamMessage, queueLength)
 	p.queues[p.peers] = queue
 	return p.peers, queue
 }
 
-func (p *Publisher) disconnect(id spread.PeerID) {
+func (p *Publisher) disconnect(id dissemination.PeerID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.queues, id)
 	p.root.Disconnect(p.now(), id)
 }
 
-func (p *Publisher) receive(id spread.PeerID, m spread.UpstreamMessage) {
+func (p *Publisher) receive(id dissemination.PeerID, m dissemination.UpstreamMessage) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
@@ -235,7 +235,7 @@
 }
 
 // deliver queues messages. The caller holds the lock.
-func (p *Publisher) deliver(all []spread.Delivery) {
+func (p *Publisher) deliver(all []dissemination.Delivery) {
 	for _, d := range all {
 		select {
 		case p.queues[d.Peer] <- d.Message:
@@ -245,7 +245,7 @@
 }
 
 // send writes queued messages until the stream fails or ctx ends.
-func send(ctx context.Context, stream *peer.Stream, queue <-chan spread.DownstreamMessage) {
+func send(ctx context.Context, stream *peer.Stream, queue <-chan dissemination.DownstreamMessage) {
 	for {
 		select {
 		case <-ctx.Done():
--- a/internal/subscribe/subscribe.go
+++ b/internal/subscribe/subscribe.go
@@ -1,4 +1,4 @@
-// Package subscribe joins core/spread to peer streams: Run keeps a daemon's
+// Package subscribe joins core/dissemination to peer streams: Run keeps a daemon's
 // subscription to control, a Publisher serves the subscriptions of others.
 package subscribe
 
@@ -12,7 +12,7 @@
 
 	"go.uber.org/zap"
 
-	"fulmarmount.org/core/spread"
+	"fulmarmount.org/core/dissemination"
 	"fulmarmount.org/fulmarmount/internal/pace"
 	"fulmarmount.org/fulmarmount/internal/peer"
 	"fulmarmount.org/fulmarmount/internal/proto"
@@ -74,7 +74,7 @@
 type subscription struct {
 	options Options
 	started time.Time
-	sink    *spread.Sink
+	sink    *dissemination.Sink
 	session uint64
 	asOf    time.Duration // of the last call of Confirmed
 }
@@ -84,9 +84,9 @@
 func Run(ctx context.Context, o Options) {
 	o.Retry = o.Retry.WithDefaults()
 	s := &subscription{options: o, started: o.Now()}
-	store := spread.NewStore(spread.StoreOptions{DropBodies: true})
-	s.sink = spread.NewSink(0, store, spread.SinkOptions{DaemonID: o.Name, Keys: o.Keys})
-	backoff := spread.NewBackoff(spread.BackoffOptions{
+	store := dissemination.NewStore(dissemination.StoreOptions{DropBodies: true})
+	s.sink = dissemination.NewSink(0, store, dissemination.SinkOptions{DaemonID: o.Name, Keys: o.Keys})
+	backoff := dissemination.NewBackoff(dissemination.BackoffOptions{
 		InitialRange: o.Retry.First,
 		MaxRange:     o.Retry.Max,
 		Rand:         rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
@@ -117,7 +117,7 @@
 		names = append(names, addr.String())
 	}
 	order := make([]netip.AddrPort, 0, len(names))
-	for _, n := range spread.RelayOrder(name, names) {
+	for _, n := range dissemination.RelayOrder(name, names) {
 		order = append(order, byName[n])
 	}
 	first := turn % len(order)
@@ -151,7 +151,7 @@
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
-		var out spread.Output
+		var out dissemination.Output
 		select {
 		case err := <-failed:
 			return addr, 0, heard, err
@@ -174,11 +174,11 @@
 }
 
 // receive reads messages until the stream fails.
-func receive(ctx context.Context, stream *peer.Stream) (<-chan spread.DownstreamMessage, <-chan error) {
-	received, failed := make(chan spread.DownstreamMessage), make(chan error, 1)
+func receive(ctx context.Context, stream *peer.Stream) (<-chan dissemination.DownstreamMessage, <-chan error) {
+	received, failed := make(chan dissemination.DownstreamMessage), make(chan error, 1)
 	go func() {
 		for {
-			var m spread.DownstreamMessage
+			var m dissemination.DownstreamMessage
 			if err := stream.Recv(&m); err != nil {
 				failed <- err
 				return
@@ -195,7 +195,7 @@
 }
 
 // take puts in force what was adopted and sends what is to be sent.
-func (s *subscription) take(stream *peer.Stream, out spread.Output) error {
+func (s *subscription) take(stream *peer.Stream, out dissemination.Output) error {
 	var update proto.Update
 	for _, it := range out.Applied {
 		if err := update.Add(it); err != nil {
--- a/internal/subscribe/subscribe_test.go
+++ b/internal/subscribe/subscribe_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 	"go.uber.org/zap"
 
-	"fulmarmount.org/core/spread"
+	"fulmarmount.org/core/dissemination"
 	"fulmarmount.org/core/view"
 	"fulmarmount.org/fulmarmount/internal/keys"
 	"fulmarmount.org/fulmarmount/internal/peer"
@@ -61,7 +61,7 @@
 
 func (c *control) publish(t *testing.T, name string, id view.ServiceID) {
 	t.Helper()
-	is.New(t).NoErr(c.publisher.Publish(func(at view.Version) (spread.Item, error) {
+	is.New(t).NoErr(c.publisher.Publish(func(at view.Version) (dissemination.Item, error) {
 		return proto.ServiceItem(proto.Service{ID: id, Name: name}, at)
 	}))
 }
--- a/tools/capacity/content.go
+++ b/tools/capacity/content.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"net/netip"
 
-	"fulmarmount.org/core/spread"
+	"fulmarmount.org/core/dissemination"
 	"fulmarmount.org/core/view"
 	"fulmarmount.org/fulmarmount/internal/proto"
 )
@@ -52,13 +52,13 @@
 	}
 }
 
-func viewItem(i int, at view.Version) spread.Item {
+func viewItem(i int, at view.Version) dissemination.Item {
 	it, err := proto.ViewItem(serviceName(i), at, serviceView(i, hostsPerService, at))
 	must(err)
 	return it
 }
 
-func serviceItem(i int, at view.Version) spread.Item {
+func serviceItem(i int, at view.Version) dissemination.Item {
 	it, err := proto.ServiceItem(service(i), at)
 	must(err)
 	return it
--- a/tools/capacity/fleet.go
+++ b/tools/capacity/fleet.go
@@ -44,12 +44,12 @@
 	replicas        = 5.0   // control VMs that hold the log
 	viewsPerRestart = 7.0   // gone, joining, four steps of warming, ready
 	rackHosts       = 40.0  // hosts lost with one rack or switch
-	probesPerSecond = 0.5   // spread.SinkOptions.ProbeInterval is 2 s
+	probesPerSecond = 0.5   // dissemination.SinkOptions.ProbeInterval is 2 s
 	renewsPerSecond = 1.0   // announcements of one agent
 	vmCores         = 16.0  // of a control VM, assumed
 	linkBytes       = 125e6 // bytes per second of a 1 Gb/s link of a control VM
 	leaseSeconds    = 3.0   // until a silent host's lease has ended
-	maxLagSeconds   = 10.0  // spread.SinkOptions.SourceTimeout
+	maxLagSeconds   = 10.0  // dissemination.SinkOptions.SourceTimeout
 	reconnectSpread = 1.0   // seconds, the range of the first reconnect delay
 	warmWindow      = 0.1   // seconds that changes are gathered for one batch
 	crossRegionRTT  = 0.3   // seconds, assumed
--- a/tools/capacity/measure_spread.go
+++ b/tools/capacity/measure_spread.go
@@ -10,8 +10,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
+	"fulmarmount.org/core/dissemination"
 	"fulmarmount.org/core/flow"
-	"fulmarmount.org/core/spread"
 	"fulmarmount.org/core/view"
 	"fulmarmount.org/fulmarmount/internal/proto"
 )
@@ -48,15 +48,15 @@
 
 // link joins a root to one sink by encoded messages and counts their bytes.
 type link struct {
-	root    *spread.Root
-	sink    *spread.Sink
-	adopt   func(spread.Item)
+	root    *dissemination.Root
+	sink    *dissemination.Sink
+	adopt   func(dissemination.Item)
 	session uint64
 	bytes   int
 }
 
-func newRoot(services int) *spread.Root {
-	root, err := spread.NewRoot(1, spread.NewStore(spread.StoreOptions{}), spread.SourceOptions{
+func newRoot(services int) *dissemination.Root {
+	root, err := dissemination.NewRoot(1, dissemination.NewStore(dissemination.StoreOptions{}), dissemination.SourceOptions{
 		MaxSubscribers: 1 << 14, Rand: rand.New(rand.NewPCG(1, 1)),
 	})
 	must(err)
@@ -67,13 +67,13 @@
 	return root
 }
 
-func publish(root *spread.Root, it spread.Item) {
+func publish(root *dissemination.Root, it dissemination.Item) {
 	_, err := root.Publish(it)
 	must(err)
 }
 
-func newLink(root *spread.Root, adopt func(spread.Item)) *link {
-	sink := spread.NewSink(0, spread.NewStore(spread.StoreOptions{DropBodies: true}), spread.SinkOptions{DaemonID: "balancer"})
+func newLink(root *dissemination.Root, adopt func(dissemination.Item)) *link {
+	sink := dissemination.NewSink(0, dissemination.NewStore(dissemination.StoreOptions{DropBodies: true}), dissemination.SinkOptions{DaemonID: "balancer"})
 	return &link{root: root, sink: sink, adopt: adopt}
 }
 
@@ -86,17 +86,17 @@
 // tick sends what is due and delivers everything that follows from it.
 func (l *link) tick() { l.pass(l.down(l.root.Tick(0))) }
 
-func (l *link) pass(queue []spread.UpstreamMessage) {
+func (l *link) pass(queue []dissemination.UpstreamMessage) {
 	for ; len(queue) > 0; queue = queue[1:] {
 		l.count(queue[0])
 		queue = append(queue, l.down(l.root.Receive(0, 1, queue[0]))...)
 	}
 }
 
-func (l *link) down(all []spread.Delivery) (answers []spread.UpstreamMessage) {
+func (l *link) down(all []dissemination.Delivery) (answers []dissemination.UpstreamMessage) {
 	for _, d := range all {
 		b := l.count(d.Message)
-		var m spread.DownstreamMessage
+		var m dissemination.DownstreamMessage
 		must(cbor.Unmarshal(b, &m))
 		answers = append(answers, l.take(l.sink.Receive(0, m))...)
 	}
@@ -110,7 +110,7 @@
 	return b
 }
 
-func (l *link) take(out spread.Output) []spread.UpstreamMessage {
+func (l *link) take(out dissemination.Output) []dissemination.UpstreamMessage {
 	for _, it := range out.Applied {
 		l.adopt(it)
 	}
@@ -125,7 +125,7 @@
 		relay.Points = append(relay.Points, Point{float64(hosts), heapOf(func() any { return newRoot(services) })})
 		root := newRoot(services)
 		leaf.Points = append(leaf.Points, Point{float64(hosts), heapOf(func() any {
-			l := newLink(root, func(spread.Item) {})
+			l := newLink(root, func(dissemination.Item) {})
 			l.connect()
 			root.Disconnect(0, 1)
 			return l.sink
@@ -153,8 +153,8 @@
 	return []Series{s}
 }
 
-func adoptInto(b *flow.Balancer) func(spread.Item) {
-	return func(it spread.Item) {
+func adoptInto(b *flow.Balancer) func(dissemination.Item) {
+	return func(it dissemination.Item) {
 		var u proto.Update
 		must(u.Add(it))
 		for _, v := range u.Views {
@@ -168,8 +168,8 @@
 	s := Series{ID: "fanout_ns", Title: "One view change at a relay, encoded for each subscriber of all services", X: "subscribers", Y: "ns"}
 	for _, subscribers := range []int{10, 30, 100, 310, 1_000} {
 		root := newRoot(1_900)
-		for peer := range spread.PeerID(subscribers) {
-			root.Receive(0, peer, spread.UpstreamMessage{Session: 1, Subscribe: &spread.Subscribe{
+		for peer := range dissemination.PeerID(subscribers) {
+			root.Receive(0, peer, dissemination.UpstreamMessage{Session: 1, Subscribe: &dissemination.Subscribe{
 				DaemonID: fmt.Sprint(peer), Position: root.Store().Position(),
 			}})
 		}
@@ -179,8 +179,8 @@
 			for _, d := range root.Tick(0) {
 				_, err := cbor.Marshal(d.Message)
 				must(err)
-				ack := &spread.Ack{Received: d.Message.Batch.To, Applied: d.Message.Batch.To}
-				root.Receive(0, d.Peer, spread.UpstreamMessage{Session: 1, Ack: ack})
+				ack := &dissemination.Ack{Received: d.Message.Batch.To, Applied: d.Message.Batch.To}
+				root.Receive(0, d.Peer, dissemination.UpstreamMessage{Session: 1, Ack: ack})
 			}
 		})})
 	}
--- a/tools/capacity/measure_wire.go
+++ b/tools/capacity/measure_wire.go
@@ -12,7 +12,7 @@
 
 	"go.uber.org/zap"
 
-	"fulmarmount.org/core/spread"
+	"fulmarmount.org/core/dissemination"
 	"fulmarmount.org/core/view"
 	"fulmarmount.org/fulmarmount/internal/keys"
 	"fulmarmount.org/fulmarmount/internal/peer"
@@ -191,7 +191,7 @@
 }
 
 func change(p *subscribe.Publisher, i int) {
-	must(p.Publish(func(at view.Version) (spread.Item, error) { return viewItem(i, at), nil }))
+	must(p.Publish(func(at view.Version) (dissemination.Item, error) { return viewItem(i, at), nil }))
 }
 
 // measureRenewals counts what an agent's announcements cost.
--- a/tools/capacity/model.go
+++ b/tools/capacity/model.go
@@ -161,7 +161,7 @@
 func (c costs) inForce() []Row {
 	sync := 2 * c.Get("sync_us").At(1) * 1e-6
 	usual := sync + crossRegionRTT + warmWindow + 2*crossRegionRTT/2 + c.changeCPU()
-	lost := usual + 2*2.0 // spread.SourceOptions.ResendAfter on both hops.
+	lost := usual + 2*2.0 // dissemination.SourceOptions.ResendAfter on both hops.
 	return []Row{
 		{"commit", seconds(sync + crossRegionRTT), "two syncs and a round trip of 0.3 s between regions (assumed)", 0, 0, "`quorum`", ""},
 		{"gather", seconds(warmWindow), "`batchWindow`", 0, 0, "`spread.Source`", ""},
