--- a/core/membership/roster.go
+++ b/core/membership/roster.go
@@ -1,7 +1,7 @@
-// Package membership reconciles the membership of a control group without
-// operators: it promotes replicas that have caught up to voters, and removes those
-// that another one has replaced. It never shrinks the voters below the wanted number
-// and changes one member at a time.
+// Package membership maintains the membership of a control group without operators:
+// it promotes learners that have caught up, and removes replicas that were
+// replaced. It never reduces the number of voters below the target and changes
+// one member at a time.
 package membership
 
 import (
