--- a/core/steer/balancer.go
+++ b/core/routing/balancer.go
@@ -1,4 +1,4 @@
-package steer
+package routing
 
 import (
 	"sync/atomic"
--- a/core/steer/segment.go
+++ b/core/routing/segment.go
@@ -1,4 +1,4 @@
-// Package steer decides where the segments of flows are forwarded. Every segment
+// Package routing decides where the segments of flows are forwarded. Every segment
 // carries its flow's addresses, transport flags and sequence numbers, so no process
 // between caller and backend server needs connection state to route it.
 //
@@ -7,7 +7,7 @@
 // the members of the service in a fixed order until one owns the flow. An Agent, beside
 // each backend server, delivers segments and returns those of flows that its backend
 // server does not own.
-package steer
+package routing
 
 import (
 	"time"
--- a/internal/segment/agent.go
+++ b/internal/segment/agent.go
@@ -10,7 +10,7 @@
 	"go.uber.org/zap"
 
 	"fulmarmount.org/core/flow"
-	"fulmarmount.org/core/steer"
+	"fulmarmount.org/core/routing"
 	"fulmarmount.org/core/view"
 	"fulmarmount.org/fulmarmount/internal/histogram"
 	"fulmarmount.org/fulmarmount/internal/pace"
@@ -41,7 +41,7 @@
 // Agent is the running agent role beside one backend server.
 type Agent struct {
 	options  AgentOptions
-	host     *steer.Agent
+	host     *routing.Agent
 	outbound *udp.Conn
 	*envelopes
 	counts    *counters
@@ -82,7 +82,7 @@
 		options: o, outbound: outbound, envelopes: sockets, counts: counts, started: o.Now(), pool: newPool(o.Common), asked: newTimes(),
 		changed: make(chan struct{}, 1), balancers: newBalancers(),
 	}
-	a.host = steer.NewAgent(0, steer.AgentOptions{SilenceTimeout: o.Patience, IdleTimeout: o.IdleTimeout})
+	a.host = routing.NewAgent(0, routing.AgentOptions{SilenceTimeout: o.Patience, IdleTimeout: o.IdleTimeout})
 	a.ctx, a.cancel = context.WithCancel(context.Background())
 	if o.Service != "" {
 		a.subscribe(o.Service)
@@ -163,12 +163,12 @@
 	}
 	now := a.elapsed()
 	a.balancers.heard(now, h.ReplyTo)
-	arrival := steer.ForwardInfo{
+	arrival := routing.ForwardInfo{
 		Service: h.Flow.Service, ConfigVersion: h.Flow.Ballot.Version, Incarnation: h.Flow.TargetIncarnation, Balancer: h.ReplyTo,
 		Hops: h.Flow.Hops, OwnerKnown: h.Flow.EarlierPicksComplete,
 	}
 	decision := a.host.Receive(now, &segment.Segment, arrival)
-	if decision.Refusal != steer.RefusalNone {
+	if decision.Refusal != routing.RefusalNone {
 		a.sendBack(&segment.Segment, arrival, decision.Refusal, payload)
 		return
 	}
@@ -178,7 +178,7 @@
 	a.deliver(now, &segment.Segment, decision.Token, payload)
 }
 
-func (a *Agent) deliver(now time.Duration, s *steer.Segment, token uint32, payload []byte) {
+func (a *Agent) deliver(now time.Duration, s *routing.Segment, token uint32, payload []byte) {
 	a.options.Codec.SetToken(payload, token)
 	if err := a.outbound.Write(payload, a.options.Backend); err != nil {
 		a.counts.failed.Add(1)
@@ -197,7 +197,7 @@
 }
 
 // sendBack returns a segment to the balancer that sent it.
-func (a *Agent) sendBack(s *steer.Segment, arrival steer.ForwardInfo, why steer.Refusal, payload []byte) {
+func (a *Agent) sendBack(s *routing.Segment, arrival routing.ForwardInfo, why routing.Refusal, payload []byte) {
 	a.sentBack.Add(1)
 	a.options.Log.Info("Returned a segment.",
 		zap.Stringer("caller", s.Tuple.Caller), zap.Stringer("address", s.Tuple.Service), zap.Bool("opens", s.OpensFlow()),
@@ -206,7 +206,7 @@
 		Kind: packet.Returned, ReplyTo: a.conn.Addr(),
 		Flow: flow.Packet{
 			Service: arrival.Service, Tuple: s.Tuple, Hops: arrival.Hops, EarlierPicksComplete: arrival.OwnerKnown,
-			PointerRequested: why == steer.RefusalBackendDown, NonOwners: [flow.MaxNonOwners]uint64{a.seed()}, NonOwnerCount: 1,
+			PointerRequested: why == routing.RefusalBackendDown, NonOwners: [flow.MaxNonOwners]uint64{a.seed()}, NonOwnerCount: 1,
 		},
 	}, payload)
 }
@@ -252,11 +252,11 @@
 		return
 	}
 	a.options.Codec.Restore(payload)
-	a.sendBack(&h.Segment, arrival, steer.RefusalUnknownFlow, payload)
+	a.sendBack(&h.Segment, arrival, routing.RefusalUnknownFlow, payload)
 }
 
 // reply sends a packet of the backend server to its caller.
-func (a *Agent) reply(s *steer.Segment, payload []byte) {
+func (a *Agent) reply(s *routing.Segment, payload []byte) {
 	now := a.elapsed()
 	if balancer := a.host.ObserveReply(now, s); balancer.IsValid() {
 		a.tell(balancer, s.Tuple)
--- a/internal/segment/announce.go
+++ b/internal/segment/announce.go
@@ -5,7 +5,7 @@
 
 	"go.uber.org/zap"
 
-	"fulmarmount.org/core/steer"
+	"fulmarmount.org/core/routing"
 	"fulmarmount.org/core/view"
 	"fulmarmount.org/fulmarmount/internal/announce"
 	"fulmarmount.org/fulmarmount/internal/proto"
@@ -34,9 +34,9 @@
 	if i.Run > known.Run {
 		a.begin(i)
 	}
-	standing := steer.BackendServing
+	standing := routing.BackendServing
 	if i.Draining {
-		standing = steer.BackendDraining
+		standing = routing.BackendDraining
 	}
 	changed := i.Run != known.Run || i.Draining != known.Draining || i.Slots != known.Slots
 	a.instance, a.serial = i, 0
@@ -70,8 +70,8 @@
 		a.options.Log.Info("Ignored the goodbye of another backend server.", zap.String("id", id))
 		return
 	}
-	a.host.SetState(steer.BackendDeregistered)
-	a.options.Log.Info("Backend server's standing changed.", zap.String("id", id), zap.Stringer("standing", steer.BackendDeregistered))
+	a.host.SetState(routing.BackendDeregistered)
+	a.options.Log.Info("Backend server's standing changed.", zap.String("id", id), zap.Stringer("standing", routing.BackendDeregistered))
 	a.kick()
 }
 
--- a/internal/segment/balancer.go
+++ b/internal/segment/balancer.go
@@ -12,7 +12,7 @@
 	"go.uber.org/zap"
 
 	"fulmarmount.org/core/flow"
-	"fulmarmount.org/core/steer"
+	"fulmarmount.org/core/routing"
 	"fulmarmount.org/core/view"
 	"fulmarmount.org/fulmarmount/internal/histogram"
 	"fulmarmount.org/fulmarmount/internal/pace"
@@ -63,7 +63,7 @@
 // Balancer is the running balancer role.
 type Balancer struct {
 	options BalancerOptions
-	steer   *steer.Balancer
+	router  *routing.Balancer
 	callers *udp.Conn
 	*envelopes
 	counts    *counters
@@ -92,7 +92,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	b := &Balancer{
-		options: o, steer: steer.NewBalancer(o.Zone), callers: callers, envelopes: sockets, counts: counts, started: o.Now(), cancel: cancel,
+		options: o, router: routing.NewBalancer(o.Zone), callers: callers, envelopes: sockets, counts: counts, started: o.Now(), cancel: cancel,
 		pool: newPool(o.Common), decisions: newDecisions(), placed: newTimes(), kept: newKept(),
 		positions: make(map[view.ServiceID]view.Version), services: make(map[string]proto.Service),
 	}
@@ -120,7 +120,7 @@
 func (b *Balancer) elapsed() time.Duration { return b.options.Now().Sub(b.started) }
 
 // Ready reports whether callers may be sent here.
-func (b *Balancer) Ready() bool { return b.steer.IsConfigConfirmed() && !b.leaving.Load() }
+func (b *Balancer) Ready() bool { return b.router.IsConfigConfirmed() && !b.leaving.Load() }
 
 // Stop goes on for LeaveTime while it is not ready, then closes the sockets.
 func (b *Balancer) Stop(ctx context.Context) error {
@@ -137,15 +137,15 @@
 }
 
 func (b *Balancer) confirmed(asOf time.Time) {
-	if !b.steer.IsConfigConfirmed() {
+	if !b.router.IsConfigConfirmed() {
 		b.options.Log.Info("Configuration is current.", zap.Time("as_of", asOf))
 	}
-	b.steer.ConfirmConfig()
+	b.router.ConfirmConfig()
 }
 
 // adopt puts an update in force.
 func (b *Balancer) adopt(u proto.Update) {
-	now, t := b.elapsed(), b.steer.Table()
+	now, t := b.elapsed(), b.router.Table()
 	if len(u.Services) > 0 || len(u.Removed) > 0 {
 		b.setServices(u)
 		t = t.WithRoutes(b.routes())
@@ -156,7 +156,7 @@
 		b.options.Log.Info("Adopted a view.", zap.Uint32("service", uint32(v.Service)),
 			zap.Stringer("version", v.Version), zap.Int("members", len(v.Members)), zap.Int("targets", len(v.Targets())))
 	}
-	b.steer.SetTable(t)
+	b.router.SetTable(t)
 }
 
 func (b *Balancer) setServices(u proto.Update) {
@@ -172,11 +172,11 @@
 }
 
 // routes returns the addresses of all services of mode segment.
-func (b *Balancer) routes() steer.Routes {
-	routes := make(steer.Routes)
+func (b *Balancer) routes() routing.Routes {
+	routes := make(routing.Routes)
 	for _, s := range b.services {
 		for _, in := range s.Inbound {
-			routes[in.Addr] = insertPortion(routes[in.Addr], steer.WeightedService{Service: s.ID, Weight: in.Weight})
+			routes[in.Addr] = insertPortion(routes[in.Addr], routing.WeightedService{Service: s.ID, Weight: in.Weight})
 		}
 	}
 	return routes
@@ -184,12 +184,12 @@
 
 // insertPortion keeps portions in the order of their services, so that all
 // balancers choose alike.
-func insertPortion(list []steer.WeightedService, p steer.WeightedService) []steer.WeightedService {
+func insertPortion(list []routing.WeightedService, p routing.WeightedService) []routing.WeightedService {
 	i := len(list)
 	for i > 0 && list[i-1].Service > p.Service {
 		i--
 	}
-	list = append(list, steer.WeightedService{})
+	list = append(list, routing.WeightedService{})
 	copy(list[i+1:], list[i:])
 	list[i] = p
 	return list
@@ -210,14 +210,14 @@
 		return
 	}
 	now := b.elapsed()
-	b.carryOut(now, &h.Segment, b.steer.Steer(now, &h.Segment), payload)
+	b.carryOut(now, &h.Segment, b.router.Steer(now, &h.Segment), payload)
 }
 
 // resume sends the packets on whose last question nobody has answered.
 func (b *Balancer) resume() {
 	now := b.elapsed()
 	b.kept.sweep(now)
-	for _, id := range b.steer.OverdueSearches(now) {
+	for _, id := range b.router.OverdueSearches(now) {
 		packet := b.kept.get(id)
 		if packet == nil {
 			continue
@@ -228,7 +228,7 @@
 			b.kept.drop(id)
 			continue
 		}
-		b.carryOut(now, &h.Segment, b.steer.Steer(now, &h.Segment), packet)
+		b.carryOut(now, &h.Segment, b.router.Steer(now, &h.Segment), packet)
 	}
 }
 
@@ -252,7 +252,7 @@
 	}
 	b.decisions.returned.Add(1)
 	now := b.elapsed()
-	decision := b.steer.HandleReturn(now, &segment.Segment, steer.ReturnInfo{
+	decision := b.router.HandleReturn(now, &segment.Segment, routing.ReturnInfo{
 		Service: h.Flow.Service, Seed: h.Flow.NonOwners[0], Hops: h.Flow.Hops, BackendDown: h.Flow.PointerRequested,
 	})
 	b.carryOut(now, &segment.Segment, decision, payload)
@@ -267,12 +267,12 @@
 	}
 	b.decisions.notes.Add(1)
 	now := b.elapsed()
-	b.steer.ReportLoad(now, n.Service, n.Seed, n.Load)
+	b.router.ReportLoad(now, n.Service, n.Seed, n.Load)
 	if !n.Held {
 		return
 	}
 	id := h.Flow.Tuple.ID()
-	b.steer.ConfirmOwner(now, id, n.Service, n.Seed)
+	b.router.ConfirmOwner(now, id, n.Service, n.Seed)
 	b.kept.drop(id)
 	if at, ok := b.placed.take(id); ok {
 		b.placing.Add(now - at)
@@ -280,27 +280,27 @@
 }
 
 // carryOut does what was decided about a segment.
-func (b *Balancer) carryOut(now time.Duration, s *steer.Segment, d steer.Decision, payload []byte) {
+func (b *Balancer) carryOut(now time.Duration, s *routing.Segment, d routing.Decision, payload []byte) {
 	b.decisions.byReason[d.Reason].Add(1)
 	switch d.Verdict {
-	case steer.Forward:
+	case routing.Forward:
 		switch {
-		case d.Reason == steer.ReasonPlaced && s.Retransmits == 0:
+		case d.Reason == routing.ReasonPlaced && s.Retransmits == 0:
 			b.placed.put(now, s.Tuple.ID())
-		case d.Reason == steer.ReasonSearched:
+		case d.Reason == routing.ReasonSearched:
 			b.kept.put(now, s.Tuple.ID(), payload)
 		}
 		b.forward(s, d, payload)
-	case steer.Reset:
+	case routing.Reset:
 		b.reset(s)
 	}
-	if d.Verdict != steer.Forward {
+	if d.Verdict != routing.Forward {
 		b.kept.drop(s.Tuple.ID())
 	}
 	b.logDecision(s, d)
 }
 
-func (b *Balancer) forward(s *steer.Segment, d steer.Decision, payload []byte) {
+func (b *Balancer) forward(s *routing.Segment, d routing.Decision, payload []byte) {
 	b.send(d.To.Addr, &packet.Header{
 		Kind: packet.Forward, ReplyTo: b.conn.Addr(),
 		Flow: flow.Packet{
@@ -310,7 +310,7 @@
 	}, payload)
 }
 
-func (b *Balancer) reset(s *steer.Segment) {
+func (b *Balancer) reset(s *routing.Segment) {
 	b.decisions.resets.Add(1)
 	to := netip.AddrPortFrom(s.Tuple.Caller.Addr(), b.options.ReturnPort)
 	if err := b.callers.Write(b.options.Codec.AppendReset(nil, s), to); err != nil {
@@ -320,12 +320,12 @@
 }
 
 // logDecision writes one line for each decision that is not a repetition.
-func (b *Balancer) logDecision(s *steer.Segment, d steer.Decision) {
-	if d.Reason == steer.ReasonCachedOwner {
+func (b *Balancer) logDecision(s *routing.Segment, d routing.Decision) {
+	if d.Reason == routing.ReasonCachedOwner {
 		return
 	}
 	to := zap.Skip()
-	if d.Verdict == steer.Forward {
+	if d.Verdict == routing.Forward {
 		to = zap.Stringer("to", d.To.Addr)
 	}
 	b.options.Log.Info(decisionText[d.Verdict],
@@ -334,11 +334,11 @@
 		to, zap.Uint8("hops", d.Hops))
 }
 
-var decisionText = map[steer.Verdict]string{
-	steer.Forward: "Sent a segment to a member.",
-	steer.Reset:   "Reset a flow.",
-	steer.Drop:    "Dropped a segment.",
+var decisionText = map[routing.Verdict]string{
+	routing.Forward: "Sent a segment to a member.",
+	routing.Reset:   "Reset a flow.",
+	routing.Drop:    "Dropped a segment.",
 }
 
 // Available returns how many backend servers take new flows of an address.
-func (b *Balancer) Available(addr netip.AddrPort) int { return b.steer.Table().AvailableMembers(addr) }
+func (b *Balancer) Available(addr netip.AddrPort) int { return b.router.Table().AvailableMembers(addr) }
--- a/internal/segment/doc.go
+++ b/internal/segment/doc.go
@@ -1,6 +1,6 @@
 // Package segment runs the balancer and agent roles for services of mode
 // segment: it moves packets that name their flow between callers, balancers,
-// agents and backend servers as core/steer decides.
+// agents and backend servers as core/routing decides.
 //
 // A balancer wraps a caller's packet in an envelope for an agent. The agent
 // hands it to its backend server, or returns it to the balancer, which asks the
@@ -14,7 +14,7 @@
 
 	"github.com/joomcode/errorx"
 
-	"fulmarmount.org/core/steer"
+	"fulmarmount.org/core/routing"
 )
 
 var (
@@ -37,7 +37,7 @@
 
 // Header is the decoded header of a packet.
 type Header struct {
-	steer.Segment
+	routing.Segment
 	// Origin is FromCaller for a packet that the backend server has bounced.
 	Origin  Origin
 	Bounced bool
@@ -54,7 +54,7 @@
 	// Restore removes the mark and the sign of a bounce, in place.
 	Restore(packet []byte)
 	// AppendReset appends the reset that answers a segment of a caller.
-	AppendReset(dst []byte, s *steer.Segment) []byte
+	AppendReset(dst []byte, s *routing.Segment) []byte
 }
 
 // Instance is what a backend server says of itself.
--- a/internal/segment/dump.go
+++ b/internal/segment/dump.go
@@ -34,7 +34,7 @@
 	return BalancerCounters{
 		Decisions: b.decisions.byName(), Returned: b.decisions.returned.Load(), Resets: b.decisions.resets.Load(),
 		Notes: b.decisions.notes.Load(), Failed: b.counts.failed.Load(), Refused: b.counts.refused.Load(),
-		Garbled: b.counts.garbled.Load(), Flows: b.steer.CachedFlows(), Placing: b.placing.Summary(),
+		Garbled: b.counts.garbled.Load(), Flows: b.router.CachedFlows(), Placing: b.placing.Summary(),
 	}
 }
 
--- a/internal/segment/envelope.go
+++ b/internal/segment/envelope.go
@@ -11,7 +11,7 @@
 	"go.uber.org/zap"
 
 	"fulmarmount.org/core/flow"
-	"fulmarmount.org/core/steer"
+	"fulmarmount.org/core/routing"
 	"fulmarmount.org/core/view"
 	"fulmarmount.org/fulmarmount/internal/packet"
 	"fulmarmount.org/fulmarmount/internal/udp"
@@ -24,7 +24,7 @@
 type note struct {
 	Seed    uint64         `cbor:"1,keyasint"`
 	Service view.ServiceID `cbor:"2,keyasint"`
-	Load    steer.Load     `cbor:"3,keyasint"`
+	Load    routing.Load   `cbor:"3,keyasint"`
 	// Held is set where the header's flow is at the agent's backend server.
 	Held bool `cbor:"4,keyasint,omitempty"`
 }
--- a/internal/segment/metrics.go
+++ b/internal/segment/metrics.go
@@ -3,7 +3,7 @@
 import (
 	"sync/atomic"
 
-	"fulmarmount.org/core/steer"
+	"fulmarmount.org/core/routing"
 	"fulmarmount.org/fulmarmount/internal/histogram"
 )
 
@@ -38,12 +38,12 @@
 }
 
 func newDecisions() *decisions {
-	return &decisions{byReason: make([]atomic.Uint64, len(steer.Reasons()))}
+	return &decisions{byReason: make([]atomic.Uint64, len(routing.Reasons()))}
 }
 
 func (d *decisions) byName() map[string]uint64 {
 	out := make(map[string]uint64)
-	for _, r := range steer.Reasons() {
+	for _, r := range routing.Reasons() {
 		if n := d.byReason[r].Load(); n > 0 {
 			out[r.String()] = n
 		}
--- a/internal/segment/report.go
+++ b/internal/segment/report.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"fulmarmount.org/core/steer"
+	"fulmarmount.org/core/routing"
 )
 
 const (
@@ -37,7 +37,7 @@
 	heard time.Duration
 	// at is when it was told, untold before that.
 	at   time.Duration
-	load steer.Load
+	load routing.Load
 }
 
 // untold is before every time, so that who was never told comes first.
@@ -60,7 +60,7 @@
 
 // due returns the balancers to tell a load now, those first that were told longest
 // ago, and notes them as told.
-func (b *balancers) due(now time.Duration, load steer.Load) []netip.AddrPort {
+func (b *balancers) due(now time.Duration, load routing.Load) []netip.AddrPort {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var due []*report
--- a/internal/segment/report_test.go
+++ b/internal/segment/report_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/matryer/is"
 
-	"fulmarmount.org/core/steer"
+	"fulmarmount.org/core/routing"
 )
 
 func balancerAddr(n int) netip.AddrPort {
@@ -23,7 +23,7 @@
 		for i := range n {
 			b.heard(now, balancerAddr(i))
 		}
-		for _, balancer := range b.due(now, steer.Load{RunningRequests: uint32(now / tickInterval)}) {
+		for _, balancer := range b.due(now, routing.Load{RunningRequests: uint32(now / tickInterval)}) {
 			told[balancer]++
 		}
 	}
@@ -55,8 +55,8 @@
 	times := 0
 	for now := time.Duration(0); now <= 3*time.Second; now += tickInterval {
 		b.heard(now, balancerAddr(1))
-		times += len(b.due(now, steer.Load{Flows: 3}))
+		times += len(b.due(now, routing.Load{Flows: 3}))
 	}
 	is.Equal(times, 4)
-	is.Equal(len(b.due(20*time.Second, steer.Load{})), 0) // it has sent nothing for long
+	is.Equal(len(b.due(20*time.Second, routing.Load{})), 0) // it has sent nothing for long
 }
--- a/internal/segment/segment_test.go
+++ b/internal/segment/segment_test.go
@@ -14,7 +14,7 @@
 	"go.uber.org/zap"
 
 	"fulmarmount.org/core/flow"
-	"fulmarmount.org/core/steer"
+	"fulmarmount.org/core/routing"
 	"fulmarmount.org/fulmarmount/internal/keys"
 	"fulmarmount.org/fulmarmount/internal/peer"
 	"fulmarmount.org/fulmarmount/internal/proto"
@@ -37,8 +37,8 @@
 	}
 	return segment.Header{
 		Origin: from, Bounced: b[1] == 1, Token: binary.BigEndian.Uint32(b[2:]),
-		Segment: steer.Segment{
-			Flags: steer.Flags(b[0]), Length: len(b) - testHeader,
+		Segment: routing.Segment{
+			Flags: routing.Flags(b[0]), Length: len(b) - testHeader,
 			Tuple: flow.Tuple{Caller: addrAt(b[6:]), Service: addrAt(b[12:])},
 		},
 	}, nil
@@ -55,11 +55,11 @@
 	c.SetToken(b, 0)
 }
 
-func (codec) AppendReset(dst []byte, s *steer.Segment) []byte {
-	return append(dst, encode(s.Tuple, steer.RST, "")...)
+func (codec) AppendReset(dst []byte, s *routing.Segment) []byte {
+	return append(dst, encode(s.Tuple, routing.RST, "")...)
 }
 
-func encode(t flow.Tuple, flags steer.Flags, data string) []byte {
+func encode(t flow.Tuple, flags routing.Flags, data string) []byte {
 	b := make([]byte, testHeader, testHeader+len(data))
 	b[0] = byte(flags)
 	for i, addr := range []netip.AddrPort{t.Caller, t.Service} {
@@ -98,9 +98,9 @@
 	switch {
 	case in.OpensFlow():
 		h.flows[in.Tuple] = true
-		return encode(in.Tuple, steer.SYN|steer.ACK, "")
+		return encode(in.Tuple, routing.SYN|routing.ACK, "")
 	case h.flows[in.Tuple]:
-		return encode(in.Tuple, steer.ACK, h.name)
+		return encode(in.Tuple, routing.ACK, h.name)
 	}
 	b[1] = 1
 	return b
@@ -266,7 +266,7 @@
 func (c *caller) once(port int, data string) string {
 	c.f.t.Helper()
 	tuple := flow.Tuple{Caller: netip.AddrPortFrom(c.addr, uint16(port)), Service: c.f.address}
-	_, _ = c.conn.WriteToUDPAddrPort(encode(tuple, steer.ACK, data), c.f.callers)
+	_, _ = c.conn.WriteToUDPAddrPort(encode(tuple, routing.ACK, data), c.f.callers)
 	_ = c.conn.SetReadDeadline(time.Now().Add(patience))
 	buf := make([]byte, 2048)
 	for {
@@ -282,7 +282,7 @@
 }
 
 // exchange sends a packet until it is answered.
-func (c *caller) exchange(port int, flags steer.Flags, data string) (steer.Flags, string) {
+func (c *caller) exchange(port int, flags routing.Flags, data string) (routing.Flags, string) {
 	c.f.t.Helper()
 	tuple := flow.Tuple{Caller: netip.AddrPortFrom(c.addr, uint16(port)), Service: c.f.address}
 	buf := make([]byte, 2048)
@@ -315,14 +315,14 @@
 	const flows = 30
 	owner := make(map[int]string)
 	for port := 1000; port < 1000+flows; port++ {
-		flags, _ := c.exchange(port, steer.SYN, "")
-		is.Equal(flags, steer.SYN|steer.ACK)
-		_, owner[port] = c.exchange(port, steer.ACK, "who")
+		flags, _ := c.exchange(port, routing.SYN, "")
+		is.Equal(flags, routing.SYN|routing.ACK)
+		_, owner[port] = c.exchange(port, routing.ACK, "who")
 	}
 	check := func(what string) {
 		t.Helper()
 		for port, name := range owner {
-			if _, got := c.exchange(port, steer.ACK, "who"); got != name {
+			if _, got := c.exchange(port, routing.ACK, "who"); got != name {
 				t.Fatalf("%s: flow %d moved from %s to %s", what, port, name, got)
 			}
 		}
@@ -357,8 +357,8 @@
 	last.Draining = true
 	is.NoErr(agent.Heard(last)) // its agent turns new flows away before any view says so
 	for port := 1000; port < 1020; port++ {
-		flags, _ := c.exchange(port, steer.SYN, "")
-		is.Equal(flags, steer.SYN|steer.ACK)
+		flags, _ := c.exchange(port, routing.SYN, "")
+		is.Equal(flags, routing.SYN|routing.ACK)
 	}
 	is.Equal(leaving.held(), 0)
 	is.Equal(staying.held(), 20)
@@ -389,10 +389,10 @@
 	is.NoErr(agent.Heard(h.report(1)))
 	f.startBalancer(1)
 	c := f.newCaller()
-	c.exchange(1000, steer.SYN, "")
+	c.exchange(1000, routing.SYN, "")
 	agent.Goodbye("host-1")
-	flags, _ := c.exchange(1000, steer.ACK, "who")
-	is.Equal(flags, steer.RST)
+	flags, _ := c.exchange(1000, routing.ACK, "who")
+	is.Equal(flags, routing.RST)
 }
 
 // An agent that is gone leaves questions unanswered. The flows of others are found
@@ -406,9 +406,9 @@
 	c := f.newCaller()
 	const flows = 20
 	for port := 1000; port < 1000+flows; port++ {
-		flags, _ := c.exchange(port, steer.SYN, "")
-		is.Equal(flags, steer.SYN|steer.ACK)
-		c.exchange(port, steer.ACK, "who")
+		flags, _ := c.exchange(port, routing.SYN, "")
+		is.Equal(flags, routing.SYN|routing.ACK)
+		c.exchange(port, routing.ACK, "who")
 	}
 	gone, other := f.startHost("host-2")
 	is.NoErr(other.Heard(gone.report(1)))
