--- a/core/spread/doc.go
+++ b/core/dissemination/doc.go
@@ -1,4 +1,4 @@
-// Package spread disseminates keyed, versioned items from one root through
+// Package dissemination distributes keyed, versioned items from one root through
 // relays to many daemons. Configuration entries and views of services are both
 // items.
 //
@@ -25,4 +25,4 @@
 //
 // No component opens a socket or reads a clock. Callers pass messages and the time
 // since their own start.
-package spread
+package dissemination
--- a/core/spread/repair.go
+++ b/core/dissemination/repair.go
@@ -1,4 +1,4 @@
-package spread
+package dissemination
 
 // maxNewerVersions bounds the items that are recorded or reported as newer than
 // the Source's.
--- a/core/roster/roster.go
+++ b/core/membership/roster.go
@@ -1,8 +1,8 @@
-// Package roster maintains the membership of a control group, the Raft cluster of
+// Package membership maintains the membership of a control group, the Raft cluster of
 // the control processes, without operators: it promotes learners that have caught
 // up, and removes members that are inactive or whose disk was replaced. It never
 // reduces the number of voters below the target and changes one member at a time.
-package roster
+package membership
 
 import (
 	"cmp"
