--- a/internal/adapter/adapter.go
+++ b/internal/adapter/adapter.go
@@ -42,11 +42,11 @@
 
 // Backend takes what a backend server says of itself.
 type Backend interface {
-	// Heard takes a report. Errors are of type segment.BadAnnouncement and
-	// segment.Stale.
-	Heard(segment.Instance) error
-	// Goodbye notes that a backend server has left.
-	Goodbye(id string)
+	// HandleReport applies a report. Errors are of type segment.ErrInvalidReport and
+	// segment.ErrStaleReport.
+	HandleReport(segment.BackendReport) error
+	// Deregister marks a backend server as deregistered.
+	Deregister(id string)
 }
 
 // Imports is the configuration that the platform's operators number.
--- a/internal/ctl/explain_test.go
+++ b/internal/ctl/explain_test.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	frontLog = `{"level":"info","ts":"2026-03-01T01:00:04.200Z","logger":"balancer","msg":"Sent a segment to a member.","caller":"100.64.0.7:1001","reason":"placed"}
-{"level":"info","ts":"2026-03-01T01:00:04.300Z","logger":"balancer","msg":"Sent a segment to a member.","caller":"100.64.0.8:1001","reason":"placed"}
+	frontLog = `{"level":"info","ts":"2026-03-01T01:00:04.200Z","logger":"balancer","msg":"Forwarded a segment to a backend server.","caller":"100.64.0.7:1001","reason":"placed"}
+{"level":"info","ts":"2026-03-01T01:00:04.300Z","logger":"balancer","msg":"Forwarded a segment to a backend server.","caller":"100.64.0.8:1001","reason":"placed"}
 `
-	sideLog = `{"level":"info","ts":"2026-03-01T01:00:04.202Z","logger":"agent","msg":"Handed over a new flow.","caller":"100.64.0.7:1001"}
+	sideLog = `{"level":"info","ts":"2026-03-01T01:00:04.202Z","logger":"agent","msg":"Delivered the first segment of a flow.","caller":"100.64.0.7:1001"}
 `
 )
 
@@ -24,12 +24,12 @@
 		want []string
 	}{
 		{"explain --flow 100.64.0.7:1001 " + side + " " + front, exitOK, []string{
-			"2026-03-01T01:00:04.200Z front-1 balancer: Sent a segment to a member. caller=100.64.0.7:1001 reason=placed",
-			"2026-03-01T01:00:04.202Z side-1 agent: Handed over a new flow. caller=100.64.0.7:1001",
+			"2026-03-01T01:00:04.200Z front-1 balancer: Forwarded a segment to a backend server. caller=100.64.0.7:1001 reason=placed",
+			"2026-03-01T01:00:04.202Z side-1 agent: Delivered the first segment of a flow. caller=100.64.0.7:1001",
 			"2 of 3 lines; 0 others are not of fulmarmount",
 		}},
 		{"explain --summary --to 2026-03-01T01:00:04.201Z " + front, exitOK, []string{
-			"       1  Sent a segment to a member. placed",
+			"       1  Forwarded a segment to a backend server. placed",
 			"1 of 2 lines; 0 others are not of fulmarmount",
 		}},
 		{"explain --from 2026-03-01T01:00:05Z " + front, exitOK, []string{"0 of 2 lines; 0 others are not of fulmarmount"}},
--- a/internal/node/segments.go
+++ b/internal/node/segments.go
@@ -40,17 +40,17 @@
 
 // segmentOptions returns the options that both roles of mode segment share. An
 // error of type errNoPlatform says that nothing here can read the packets.
-func (o Options) segmentOptions(name string) (segment.Common, error) {
+func (o Options) segmentOptions(name string) (segment.CommonOptions, error) {
 	if o.Platform == nil {
-		return segment.Common{}, errNoPlatform.New("section [segments] needs a platform's adapter")
+		return segment.CommonOptions{}, errNoPlatform.New("section [segments] needs a platform's adapter")
 	}
 	s, join := o.Settings.Segments, o.Settings.Join
-	return segment.Common{
-		Name: o.Settings.Name, Zone: o.Settings.Zone, Control: o.Seeds.Get,
-		Retry:   subscribe.Retry{First: join.Retry, Max: join.RetryMax, Dial: join.Dial},
-		Silence: join.Silence,
-		Packets: s.Packets, ReturnPort: s.Callers.Port(),
-		TLS: o.clientTLS(keys.Control), Keys: ring{Ring: o.Ring, now: o.Now}, Session: rand.Uint64(),
+	return segment.CommonOptions{
+		Name: o.Settings.Name, Zone: o.Settings.Zone, ControlAddrs: o.Seeds.Get,
+		Retry:                 subscribe.Retry{First: join.Retry, Max: join.RetryMax, Dial: join.Dial},
+		ControlSilenceTimeout: join.Silence,
+		EnvelopeAddr:          s.Packets, ReturnPort: s.Callers.Port(),
+		TLSConfig: o.clientTLS(keys.Control), KeyRing: ring{Ring: o.Ring, now: o.Now}, SessionID: rand.Uint64(),
 		Codec: o.Platform.Codec(), Now: o.Now, Log: o.Log.Named(name),
 	}, nil
 }
@@ -65,7 +65,7 @@
 		return nil, err
 	}
 	return segment.StartBalancer(segment.BalancerOptions{
-		Common: common, Callers: o.Settings.Segments.Callers, LeaveTime: o.Settings.Segments.LeaveTime,
+		CommonOptions: common, CallerAddr: o.Settings.Segments.Callers, ShutdownDelay: o.Settings.Segments.LeaveTime,
 	})
 }
 
@@ -76,8 +76,8 @@
 	}
 	s := o.Settings.Segments
 	return segment.StartAgent(segment.AgentOptions{
-		Common: common, Service: s.Service, Backend: s.Backend, Outbound: s.Outbound,
-		Patience: s.Patience, IdleTimeout: s.IdleTimeout,
+		CommonOptions: common, Service: s.Service, BackendAddr: s.Backend, OutboundAddr: s.Outbound,
+		BackendSilenceTimeout: s.Patience, IdleTimeout: s.IdleTimeout,
 	})
 }
 
--- a/internal/segment/agent.go
+++ b/internal/segment/agent.go
@@ -22,89 +22,92 @@
 
 // AgentOptions configure an Agent.
 type AgentOptions struct {
-	Common
-	// Service is the service that the backend server is expected to serve.
+	CommonOptions
+	// Service is the service assumed until the backend server's first report.
 	Service string
-	// Backend is the address of the backend server.
-	Backend netip.AddrPort
-	// Outbound is the UDP address to which the backend server sends everything.
-	Outbound netip.AddrPort
-	// Patience is how long the backend server may be silent.
-	Patience time.Duration
-	// IdleTimeout is how long a flow may be silent.
+	// BackendAddr is the address of the backend server.
+	BackendAddr netip.AddrPort
+	// OutboundAddr is the UDP address to which the backend server sends its packets.
+	OutboundAddr netip.AddrPort
+	// BackendSilenceTimeout is the silence after which the backend server is
+	// considered down.
+	BackendSilenceTimeout time.Duration
+	// IdleTimeout is the time after which an idle flow expires.
 	IdleTimeout time.Duration
 }
 
-// tickInterval is how often an agent looks at its timers.
+// tickInterval is the interval at which an agent checks its timers.
 const tickInterval = 100 * time.Millisecond
 
 // Agent is the running agent role beside one backend server.
 type Agent struct {
 	options  AgentOptions
-	host     *steer.Agent
+	steer    *steer.Agent
 	outbound *udp.Conn
-	*envelopes
-	counts    *counters
-	delivered atomic.Uint64
-	replied   atomic.Uint64
-	sentBack  atomic.Uint64
-	bounced   atomic.Uint64
-	reports   atomic.Uint64
-	answering histogram.Histogram
-	asked     times
-	pool      *peer.Pool
-	started   time.Time
-	ctx       context.Context
-	cancel    context.CancelFunc
-	tasks     sync.WaitGroup
-	balancers balancers
-	// changed asks for an announcement at once.
-	changed chan struct{}
+	*envelopeSocket
+	counters        *counters
+	delivered       atomic.Uint64
+	replied         atomic.Uint64
+	returned        atomic.Uint64
+	bounced         atomic.Uint64
+	reports         atomic.Uint64
+	responseLatency histogram.Histogram
+	requestTimes    startTimes
+	pool            *peer.Pool
+	started         time.Time
+	ctx             context.Context
+	cancel          context.CancelFunc
+	tasks           sync.WaitGroup
+	loadReporter    loadReporter
+	// announceNow requests an immediate announcement.
+	announceNow chan struct{}
 
-	mu       sync.Mutex
-	instance Instance
-	service  view.ServiceID
-	// serial numbers the announcements of one report of the backend server.
-	serial uint64
-	// follow ends the subscription to the service.
-	follow context.CancelFunc
+	mu      sync.Mutex
+	report  BackendReport
+	service view.ServiceID
+	// announcementCount is the number of announcements since the latest report of the
+	// backend server.
+	announcementCount uint64
+	// unsubscribe cancels the subscription to the service's configuration.
+	unsubscribe context.CancelFunc
 }
 
-// StartAgent opens the sockets and serves until Stop.
+// StartAgent opens the sockets and starts the agent, which runs until Stop.
 func StartAgent(o AgentOptions) (*Agent, error) {
 	o.Retry = o.Retry.WithDefaults()
 	counts := &counters{}
-	outbound, sockets, err := openSockets(o.Common, o.Outbound, counts)
+	outbound, sockets, err := openSockets(o.CommonOptions, o.OutboundAddr, counts)
 	if err != nil {
 		return nil, err
 	}
 	a := &Agent{
-		options: o, outbound: outbound, envelopes: sockets, counts: counts, started: o.Now(), pool: newPool(o.Common), asked: newTimes(),
-		changed: make(chan struct{}, 1), balancers: newBalancers(),
+		options: o, outbound: outbound, envelopeSocket: sockets, counters: counts, started: o.Now(), pool: newPool(o.CommonOptions), requestTimes: newStartTimes(),
+		announceNow: make(chan struct{}, 1), loadReporter: newLoadReporter(),
 	}
-	a.host = steer.NewAgent(0, steer.AgentOptions{SilenceTimeout: o.Patience, IdleTimeout: o.IdleTimeout})
+	a.steer = steer.NewAgent(0, steer.AgentOptions{SilenceTimeout: o.BackendSilenceTimeout, IdleTimeout: o.IdleTimeout})
 	a.ctx, a.cancel = context.WithCancel(context.Background())
 	if o.Service != "" {
 		a.subscribe(o.Service)
 	}
-	a.tasks.Go(func() { a.read(a.receive) })
-	a.tasks.Go(func() { a.readFrom(a.outbound, a.receiveBackend) })
-	a.tasks.Go(func() { a.announce(a.ctx) })
+	a.tasks.Go(func() { a.readEnvelopes(a.receiveEnvelope) })
+	a.tasks.Go(func() { a.readDatagrams(a.outbound, a.receiveFromBackend) })
+	a.tasks.Go(func() { a.runAnnouncements(a.ctx) })
 	a.tasks.Go(func() { pace.Every(a.ctx, tickInterval, a.tick) })
 	return a, nil
 }
 
 func (a *Agent) elapsed() time.Duration { return a.options.Now().Sub(a.started) }
 
-// Ready reports whether the agent knows what leads to its backend server.
+// Ready reports whether the agent has the configuration of its backend server's
+// service.
 func (a *Agent) Ready() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.service != 0
 }
 
-// Stop closes the sockets at once: the backend server holds the flows, and the
-// next run of the agent goes on with them.
+// Stop closes the sockets immediately. The backend server owns the flows, and the
+// agent's next process continues them.
 func (a *Agent) Stop(context.Context) error {
 	a.cancel()
 	_ = a.outbound.Close()
@@ -114,8 +117,8 @@
 	return err
 }
 
-// adopt puts the service's configuration in force.
-func (a *Agent) adopt(u proto.Update) {
+// applyUpdate activates the service's configuration.
+func (a *Agent) applyUpdate(u proto.Update) {
 	for _, s := range u.Services {
 		var addrs []netip.AddrPort
 		for _, in := range s.Inbound {
@@ -126,7 +129,7 @@
 		a.setService(s.ID, s.Version, addrs)
 	}
 	for _, name := range u.Removed {
-		a.options.Log.Warn("Service was removed.", zap.String("service", name))
+		a.options.Log.Warn("The service was removed from the configuration.", zap.String("service", name))
 		a.setService(0, view.Version{}, nil)
 	}
 }
@@ -135,158 +138,158 @@
 	a.mu.Lock()
 	a.service = id
 	a.mu.Unlock()
-	a.host.SetService(id, version, addrs)
+	a.steer.SetService(id, version, addrs)
 	a.options.Log.Info("Adopted a configuration.",
 		zap.Uint32("service", uint32(id)), zap.Stringer("version", version), zap.Int("addresses", len(addrs)))
-	a.kick()
+	a.requestAnnouncement()
 }
 
-// kick has the agent announce its backend server at once.
-func (a *Agent) kick() {
+// requestAnnouncement triggers an immediate announcement of the backend server.
+func (a *Agent) requestAnnouncement() {
 	select {
-	case a.changed <- struct{}{}:
+	case a.announceNow <- struct{}{}:
 	default:
 	}
 }
 
-// receive takes the envelopes of balancers.
-func (a *Agent) receive(h *packet.Header, payload []byte) {
+// receiveEnvelope handles an envelope from a balancer.
+func (a *Agent) receiveEnvelope(h *packet.Header, payload []byte) {
 	if h.Kind != packet.Forward {
-		a.counts.refused.Add(1)
+		a.counters.rejectedEnvelopes.Add(1)
 		return
 	}
-	segment, err := a.options.Codec.Decode(payload, FromCaller)
+	header, err := a.options.Codec.Decode(payload, FromCaller)
 	if err != nil {
-		a.counts.garbled.Add(1)
-		a.options.Log.Debug("Dropped a packet that cannot be read.", zap.Stringer("balancer", h.ReplyTo), zap.Error(err))
+		a.counters.malformedPackets.Add(1)
+		a.options.Log.Debug("Dropped a malformed packet from a balancer.", zap.Stringer("balancer", h.ReplyTo), zap.Error(err))
 		return
 	}
 	now := a.elapsed()
-	a.balancers.heard(now, h.ReplyTo)
-	arrival := steer.ForwardInfo{
+	a.loadReporter.recordPacket(now, h.ReplyTo)
+	forwardInfo := steer.ForwardInfo{
 		Service: h.Flow.Service, ConfigVersion: h.Flow.Ballot.Version, Incarnation: h.Flow.TargetIncarnation, Balancer: h.ReplyTo,
 		Hops: h.Flow.Hops, OwnerKnown: h.Flow.EarlierPicksComplete,
 	}
-	decision := a.host.Receive(now, &segment.Segment, arrival)
+	decision := a.steer.Receive(now, &header.Segment, forwardInfo)
 	if decision.Refusal != steer.RefusalNone {
-		a.sendBack(&segment.Segment, arrival, decision.Refusal, payload)
+		a.returnSegment(&header.Segment, forwardInfo, decision.Refusal, payload)
 		return
 	}
 	if decision.NotifyBalancer {
-		a.tell(h.ReplyTo, segment.Tuple)
+		a.notifyOwner(h.ReplyTo, header.Tuple)
 	}
-	a.deliver(now, &segment.Segment, decision.Token, payload)
+	a.deliver(now, &header.Segment, decision.Token, payload)
 }
 
 func (a *Agent) deliver(now time.Duration, s *steer.Segment, token uint32, payload []byte) {
 	a.options.Codec.SetToken(payload, token)
-	if err := a.outbound.Write(payload, a.options.Backend); err != nil {
-		a.counts.failed.Add(1)
-		a.options.Log.Warn("Could not hand a packet over.", zap.Stringer("caller", s.Tuple.Caller), zap.Error(err))
+	if err := a.outbound.Write(payload, a.options.BackendAddr); err != nil {
+		a.counters.socketErrors.Add(1)
+		a.options.Log.Warn("Could not deliver a packet to the backend server.", zap.Stringer("caller", s.Tuple.Caller), zap.Error(err))
 		return
 	}
 	a.delivered.Add(1)
 	if s.OpensFlow() {
-		a.options.Log.Info("Handed over a new flow.",
+		a.options.Log.Info("Delivered the first segment of a flow.",
 			zap.Stringer("caller", s.Tuple.Caller), zap.Stringer("address", s.Tuple.Service), zap.Uint32("seq", s.Seq),
-			zap.Uint32("copy", s.Retransmits), zap.Uint32("running", a.host.Load().RunningRequests))
+			zap.Uint32("copy", s.Retransmits), zap.Uint32("running", a.steer.Load().RunningRequests))
 	}
 	if s.Length > 0 {
-		a.asked.put(now, s.Tuple.ID())
+		a.requestTimes.record(now, s.Tuple.ID())
 	}
 }
 
-// sendBack returns a segment to the balancer that sent it.
-func (a *Agent) sendBack(s *steer.Segment, arrival steer.ForwardInfo, why steer.Refusal, payload []byte) {
-	a.sentBack.Add(1)
-	a.options.Log.Info("Returned a segment.",
+// returnSegment returns a refused segment to the balancer that forwarded it.
+func (a *Agent) returnSegment(s *steer.Segment, forwardInfo steer.ForwardInfo, refusal steer.Refusal, payload []byte) {
+	a.returned.Add(1)
+	a.options.Log.Info("Returned a refused segment to its balancer.",
 		zap.Stringer("caller", s.Tuple.Caller), zap.Stringer("address", s.Tuple.Service), zap.Bool("opens", s.OpensFlow()),
-		zap.Uint32("seq", s.Seq), zap.Stringer("refusal", why), zap.Stringer("balancer", arrival.Balancer), zap.Uint8("hops", arrival.Hops))
-	a.send(arrival.Balancer, &packet.Header{
+		zap.Uint32("seq", s.Seq), zap.Stringer("refusal", refusal), zap.Stringer("balancer", forwardInfo.Balancer), zap.Uint8("hops", forwardInfo.Hops))
+	a.send(forwardInfo.Balancer, &packet.Header{
 		Kind: packet.Returned, ReplyTo: a.conn.Addr(),
 		Flow: flow.Packet{
-			Service: arrival.Service, Tuple: s.Tuple, Hops: arrival.Hops, EarlierPicksComplete: arrival.OwnerKnown,
-			PointerRequested: why == steer.RefusalBackendDown, NonOwners: [flow.MaxNonOwners]uint64{a.seed()}, NonOwnerCount: 1,
+			Service: forwardInfo.Service, Tuple: s.Tuple, Hops: forwardInfo.Hops, EarlierPicksComplete: forwardInfo.OwnerKnown,
+			PointerRequested: refusal == steer.RefusalBackendDown, NonOwners: [flow.MaxNonOwners]uint64{a.seed()}, NonOwnerCount: 1,
 		},
 	}, payload)
 }
 
-// tell tells a balancer that a flow is here.
-func (a *Agent) tell(balancer netip.AddrPort, tuple flow.Tuple) {
-	a.sendNote(balancer, tuple, a.note(true))
+// notifyOwner notifies a balancer that this agent's backend server owns a flow.
+func (a *Agent) notifyOwner(balancer netip.AddrPort, tuple flow.Tuple) {
+	a.sendNotification(balancer, tuple, a.newNotification(true))
 }
 
-func (a *Agent) note(held bool) note {
+func (a *Agent) newNotification(ownsFlow bool) notification {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return note{Seed: view.SeedOf(a.instance.ID), Service: a.service, Load: a.host.Load(), Held: held}
+	return notification{Seed: view.SeedOf(a.report.ID), Service: a.service, Load: a.steer.Load(), OwnsFlow: ownsFlow}
 }
 
 func (a *Agent) seed() uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return view.SeedOf(a.instance.ID)
+	return view.SeedOf(a.report.ID)
 }
 
-// receiveBackend sends a packet of the backend server on.
-func (a *Agent) receiveBackend(payload []byte, from netip.AddrPort) {
+// receiveFromBackend handles a packet from the backend server.
+func (a *Agent) receiveFromBackend(payload []byte, from netip.AddrPort) {
 	h, err := a.options.Codec.Decode(payload, FromBackend)
 	if err != nil {
-		a.counts.garbled.Add(1)
-		a.options.Log.Warn("Dropped a packet that cannot be read.", zap.Stringer("from", from), zap.Error(err))
+		a.counters.malformedPackets.Add(1)
+		a.options.Log.Warn("Dropped a malformed packet from the backend server.", zap.Stringer("from", from), zap.Error(err))
 		return
 	}
 	if h.Bounced {
-		a.bounce(&h, payload)
+		a.returnBounced(&h, payload)
 		return
 	}
-	a.reply(&h.Segment, payload)
+	a.sendReply(&h.Segment, payload)
 }
 
-// bounce returns what the backend server does not take.
-func (a *Agent) bounce(h *Header, payload []byte) {
+// returnBounced returns a packet that the backend server bounced to its balancer.
+func (a *Agent) returnBounced(h *Header, payload []byte) {
 	a.bounced.Add(1)
-	arrival, ok := a.host.HandleBounce(&h.Segment, h.Token)
+	forwardInfo, ok := a.steer.HandleBounce(&h.Segment, h.Token)
 	if !ok {
-		a.options.Log.Warn("Dropped a bounced packet of unknown arrival.", zap.Stringer("caller", h.Tuple.Caller))
+		a.options.Log.Warn("Dropped a bounced packet: its delivery is unknown.", zap.Stringer("caller", h.Tuple.Caller))
 		return
 	}
 	a.options.Codec.Restore(payload)
-	a.sendBack(&h.Segment, arrival, steer.RefusalUnknownFlow, payload)
+	a.returnSegment(&h.Segment, forwardInfo, steer.RefusalUnknownFlow, payload)
 }
 
-// reply sends a packet of the backend server to its caller.
-func (a *Agent) reply(s *steer.Segment, payload []byte) {
+// sendReply sends a packet of the backend server to its caller.
+func (a *Agent) sendReply(s *steer.Segment, payload []byte) {
 	now := a.elapsed()
-	if balancer := a.host.ObserveReply(now, s); balancer.IsValid() {
-		a.tell(balancer, s.Tuple)
+	if balancer := a.steer.ObserveReply(now, s); balancer.IsValid() {
+		a.notifyOwner(balancer, s.Tuple)
 	}
 	if s.Length > 0 {
-		if at, ok := a.asked.take(s.Tuple.ID()); ok {
-			a.answering.Add(now - at)
+		if requestTime, ok := a.requestTimes.take(s.Tuple.ID()); ok {
+			a.responseLatency.Add(now - requestTime)
 		}
 	}
 	to := netip.AddrPortFrom(s.Tuple.Caller.Addr(), a.options.ReturnPort)
 	if err := a.outbound.Write(payload, to); err != nil {
-		a.counts.failed.Add(1)
-		a.options.Log.Warn("Could not send a packet to its caller.", zap.Stringer("caller", to), zap.Error(err))
+		a.counters.socketErrors.Add(1)
+		a.options.Log.Warn("Could not send a packet to the caller.", zap.Stringer("caller", to), zap.Error(err))
 		return
 	}
 	a.replied.Add(1)
 }
 
-// tick watches the backend server and reports its load to balancers.
+// tick checks the backend server's state and reports its load to balancers.
 func (a *Agent) tick() {
 	now := a.elapsed()
-	if a.host.Tick(now) {
-		a.options.Log.Warn("Backend server has ended: it is silent or has left.", zap.Stringer("standing", a.host.State()))
-		a.kick()
+	if a.steer.Tick(now) {
+		a.options.Log.Warn("Backend server is down: unresponsive or deregistered.", zap.Stringer("standing", a.steer.State()))
+		a.requestAnnouncement()
 	}
-	n := a.note(false)
+	n := a.newNotification(false)
 	if n.Service == 0 {
 		return
 	}
-	for _, balancer := range a.balancers.due(now, n.Load) {
-		a.sendNote(balancer, noTuple, n)
+	for _, balancer := range a.loadReporter.takeDue(now, n.Load) {
+		a.sendNotification(balancer, zeroTuple, n)
 	}
 }
--- a/internal/segment/announce.go
+++ b/internal/segment/announce.go
@@ -12,113 +12,116 @@
 	"fulmarmount.org/fulmarmount/internal/subscribe"
 )
 
-// serialBits is the room for the announcements of one report.
-const serialBits = 24
+// announcementBits is the number of low bits of an announcement's sequence number
+// that count the announcements of one report.
+const announcementBits = 24
 
-// Heard takes what the backend server says of itself. An error of type
-// BadAnnouncement names no backend server to use; one of type Stale is from a
-// run that has ended.
-func (a *Agent) Heard(i Instance) error {
-	if i.Address != a.options.Backend {
-		return BadAnnouncement.New("backend server %q is at %s, not beside this agent at %s", i.ID, i.Address, a.options.Backend)
+// HandleReport applies a report of the backend server. It returns an error of type
+// ErrInvalidReport if the report is not from the backend server beside this agent,
+// and one of type ErrStaleReport if the report is older than the latest one.
+func (a *Agent) HandleReport(i BackendReport) error {
+	if i.Address != a.options.BackendAddr {
+		return ErrInvalidReport.New("backend server %q is at %s, not beside this agent at %s", i.ID, i.Address, a.options.BackendAddr)
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	known := a.instance
+	previous := a.report
 	switch {
-	case i.Run < known.Run:
-		return Stale.New("run %d of %q is older than run %d of %q", i.Run, i.ID, known.Run, known.ID)
-	case i.Run == known.Run && i.Sequence < known.Sequence:
-		return Stale.New("report %d of %q is older than report %d", i.Sequence, i.ID, known.Sequence)
+	case i.Incarnation < previous.Incarnation:
+		return ErrStaleReport.New("run %d of %q is older than run %d of %q", i.Incarnation, i.ID, previous.Incarnation, previous.ID)
+	case i.Incarnation == previous.Incarnation && i.Sequence < previous.Sequence:
+		return ErrStaleReport.New("report %d of %q is older than report %d", i.Sequence, i.ID, previous.Sequence)
 	}
-	if i.Run > known.Run {
-		a.begin(i)
+	if i.Incarnation > previous.Incarnation {
+		a.startIncarnation(i)
 	}
-	standing := steer.BackendServing
+	state := steer.BackendServing
 	if i.Draining {
-		standing = steer.BackendDraining
+		state = steer.BackendDraining
 	}
-	changed := i.Run != known.Run || i.Draining != known.Draining || i.Slots != known.Slots
-	a.instance, a.serial = i, 0
-	a.host.SetState(standing)
+	hasChanged := i.Incarnation != previous.Incarnation || i.Draining != previous.Draining || i.Slots != previous.Slots
+	a.report, a.announcementCount = i, 0
+	a.steer.SetState(state)
 	a.reports.Add(1)
-	if changed {
-		a.options.Log.Info("Backend server's standing changed.", zap.String("id", i.ID), zap.String("service", i.Service),
-			zap.Uint64("run", i.Run), zap.Stringer("standing", standing), zap.Duration("warming", i.Warming))
-		a.kick()
+	if hasChanged {
+		a.options.Log.Info("Backend server's state changed.", zap.String("id", i.ID), zap.String("service", i.Service),
+			zap.Uint64("run", i.Incarnation), zap.Stringer("standing", state), zap.Duration("warming", i.WarmupRemaining))
+		a.requestAnnouncement()
 	}
 	return nil
 }
 
-// begin notes a new run of the backend server. The caller holds the lock.
-func (a *Agent) begin(i Instance) {
-	first := a.instance.Run == 0 && i.Sequence > 1
-	a.host.StartIncarnation(view.Incarnation(i.Run), first)
+// startIncarnation starts a new incarnation of the backend server. The caller holds
+// the lock.
+func (a *Agent) startIncarnation(i BackendReport) {
+	isAlreadyRunning := a.report.Incarnation == 0 && i.Sequence > 1
+	a.steer.StartIncarnation(view.Incarnation(i.Incarnation), isAlreadyRunning)
 	if i.Service != a.options.Service {
-		a.options.Log.Warn("Backend server serves another service.", zap.String("service", i.Service), zap.String("before", a.options.Service))
+		a.options.Log.Warn("Backend server changed its service; subscribing to the new one.", zap.String("service", i.Service), zap.String("before", a.options.Service))
 		a.options.Service, a.service = i.Service, 0
-		a.host.ClearService()
+		a.steer.ClearService()
 		a.subscribe(i.Service)
 	}
 }
 
-// Goodbye notes that a backend server has left.
-func (a *Agent) Goodbye(id string) {
+// Deregister marks the backend server as deregistered.
+func (a *Agent) Deregister(id string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if id != a.instance.ID {
-		a.options.Log.Info("Ignored the goodbye of another backend server.", zap.String("id", id))
+	if id != a.report.ID {
+		a.options.Log.Info("Ignored the deregistration of another backend server.", zap.String("id", id))
 		return
 	}
-	a.host.SetState(steer.BackendDeregistered)
-	a.options.Log.Info("Backend server's standing changed.", zap.String("id", id), zap.Stringer("standing", steer.BackendDeregistered))
-	a.kick()
+	a.steer.SetState(steer.BackendDeregistered)
+	a.options.Log.Info("Backend server's state changed.", zap.String("id", id), zap.Stringer("standing", steer.BackendDeregistered))
+	a.requestAnnouncement()
 }
 
-// subscribe follows the configuration of a service in place of the one before.
+// subscribe subscribes to a service's configuration and cancels the previous
+// subscription.
 func (a *Agent) subscribe(service string) {
-	if a.follow != nil {
-		a.follow()
+	if a.unsubscribe != nil {
+		a.unsubscribe()
 	}
 	ctx, cancel := context.WithCancel(a.ctx)
-	a.follow = cancel
-	adopt := func(u proto.Update) {
+	a.unsubscribe = cancel
+	applyUpdate := func(u proto.Update) {
 		if ctx.Err() == nil {
-			a.adopt(u)
+			a.applyUpdate(u)
 		}
 	}
 	a.tasks.Go(func() {
 		subscribe.Run(ctx, subscribe.Options{
-			Name: a.options.Name, Keys: []string{proto.ServiceKey(service)}, Control: a.options.Control,
-			Retry: a.options.Retry, Pool: a.pool, Adopt: adopt, Now: a.options.Now, Log: a.options.Log,
+			Name: a.options.Name, Keys: []string{proto.ServiceKey(service)}, Control: a.options.ControlAddrs,
+			Retry: a.options.Retry, Pool: a.pool, Adopt: applyUpdate, Now: a.options.Now, Log: a.options.Log,
 		})
 	})
 }
 
-// announce renews the lease until ctx ends.
-func (a *Agent) announce(ctx context.Context) {
+// runAnnouncements renews the lease until ctx is done.
+func (a *Agent) runAnnouncements(ctx context.Context) {
 	announce.Run(ctx, announce.Options{
-		Name: a.options.Name, Control: a.options.Control, Pool: a.pool, Retry: a.options.Retry,
-		Next: a.announcement, Changed: a.changed, Log: a.options.Log,
+		Name: a.options.Name, Control: a.options.ControlAddrs, Pool: a.pool, Retry: a.options.Retry,
+		Next: a.nextAnnouncement, Changed: a.announceNow, Log: a.options.Log,
 	})
 }
 
-// announcement returns what to tell control; false before the backend server was
-// heard. Its run and reports number the announcements, so that they grow across
-// restarts of the agent.
-func (a *Agent) announcement() (view.Announcement, bool) {
+// nextAnnouncement returns the next announcement to control, or false before the
+// backend server's first report. The report's sequence number forms the high bits
+// of the announcement's, so that it increases across restarts of the agent.
+func (a *Agent) nextAnnouncement() (view.Announcement, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.instance.Run == 0 {
+	if a.report.Incarnation == 0 {
 		return view.Announcement{}, false
 	}
-	a.serial++
-	load := a.host.Load()
-	ended := a.host.IsDown()
+	a.announcementCount++
+	load := a.steer.Load()
+	isDown := a.steer.IsDown()
 	return view.Announcement{
-		Service: a.instance.Service, ID: a.instance.ID, Zone: a.options.Zone,
-		Incarnation: view.Incarnation(a.instance.Run), Packets: a.conn.Addr(), Requests: a.conn.Addr(),
-		Slots: a.instance.Slots, Draining: a.instance.Draining || ended, Healthy: !ended,
-		Sequence: a.instance.Sequence<<serialBits + a.serial, Load: load.RunningRequests, Flows: load.Flows, BackendTracksFlows: true, BackendDown: ended,
+		Service: a.report.Service, ID: a.report.ID, Zone: a.options.Zone,
+		Incarnation: view.Incarnation(a.report.Incarnation), Packets: a.conn.Addr(), Requests: a.conn.Addr(),
+		Slots: a.report.Slots, Draining: a.report.Draining || isDown, Healthy: !isDown,
+		Sequence: a.report.Sequence<<announcementBits + a.announcementCount, Load: load.RunningRequests, Flows: load.Flows, BackendTracksFlows: true, BackendDown: isDown,
 	}, true
 }
--- a/internal/segment/balancer.go
+++ b/internal/segment/balancer.go
@@ -23,28 +23,29 @@
 	"fulmarmount.org/fulmarmount/internal/udp"
 )
 
-// Common are the options that both roles share.
-type Common struct {
+// CommonOptions are the options that both roles share.
+type CommonOptions struct {
 	// Name is the VM's name.
 	Name string
 	// Zone is the availability zone.
 	Zone string
-	// Control returns the addresses of control processes.
-	Control func() []netip.AddrPort
-	Retry   subscribe.Retry
-	// Silence is how long a connection to control may be silent.
-	Silence time.Duration
-	// Packets is the UDP address for envelopes.
-	Packets netip.AddrPort
-	// ReturnPort is the port at which callers take packets.
+	// ControlAddrs returns the addresses of control processes.
+	ControlAddrs func() []netip.AddrPort
+	Retry        subscribe.Retry
+	// ControlSilenceTimeout is the silence after which a connection to control is
+	// considered lost.
+	ControlSilenceTimeout time.Duration
+	// EnvelopeAddr is the UDP address for envelopes.
+	EnvelopeAddr netip.AddrPort
+	// ReturnPort is the port at which callers receive packets.
 	ReturnPort uint16
-	// TLS returns the settings of a connection to control.
-	TLS func() *tls.Config
-	// Keys seal the envelopes.
-	Keys packet.Keys
-	// Session is a random number for this run's envelopes.
-	Session uint64
-	Codec   Codec
+	// TLSConfig returns the TLS configuration for connections to control.
+	TLSConfig func() *tls.Config
+	// KeyRing provides the keys that seal the envelopes.
+	KeyRing packet.Keys
+	// SessionID is a random number that identifies this process's envelopes.
+	SessionID uint64
+	Codec     Codec
 	// Now is the clock.
 	Now func() time.Time
 	Log *zap.Logger
@@ -52,12 +53,12 @@
 
 // BalancerOptions configure a Balancer.
 type BalancerOptions struct {
-	Common
-	// Callers is the UDP address at which callers' packets arrive.
-	Callers netip.AddrPort
-	// LeaveTime is how long a stopping balancer goes on for the callers that
-	// the fabric still sends to it.
-	LeaveTime time.Duration
+	CommonOptions
+	// CallerAddr is the UDP address at which callers' packets arrive.
+	CallerAddr netip.AddrPort
+	// ShutdownDelay is how long a stopping balancer keeps serving callers that the
+	// fabric still routes to it.
+	ShutdownDelay time.Duration
 }
 
 // Balancer is the running balancer role.
@@ -65,69 +66,71 @@
 	options BalancerOptions
 	steer   *steer.Balancer
 	callers *udp.Conn
-	*envelopes
-	counts    *counters
-	decisions *decisions
-	placing   histogram.Histogram
-	pool      *peer.Pool
-	started   time.Time
-	cancel    context.CancelFunc
-	tasks     sync.WaitGroup
-	leaving   atomic.Bool
-	// placed holds when flows were first sent to a member.
-	placed times
-	kept   kept
+	*envelopeSocket
+	counters         *counters
+	decisionCounters *decisionCounters
+	placementLatency histogram.Histogram
+	pool             *peer.Pool
+	started          time.Time
+	cancel           context.CancelFunc
+	tasks            sync.WaitGroup
+	isStopping       atomic.Bool
+	// placementTimes holds the times at which flows were first forwarded.
+	placementTimes startTimes
+	searchPackets  packetBuffer
 
-	mu        sync.RWMutex
-	positions map[view.ServiceID]view.Version
-	services  map[string]proto.Service // used by the subscription alone
+	mu             sync.RWMutex
+	configVersions map[view.ServiceID]view.Version
+	services       map[string]proto.Service // used by the subscription alone
 }
 
-// StartBalancer opens the sockets and follows control until Stop.
+// StartBalancer opens the sockets, subscribes to control and starts the balancer,
+// which runs until Stop.
 func StartBalancer(o BalancerOptions) (*Balancer, error) {
 	counts := &counters{}
-	callers, sockets, err := openSockets(o.Common, o.Callers, counts)
+	callers, sockets, err := openSockets(o.CommonOptions, o.CallerAddr, counts)
 	if err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	b := &Balancer{
-		options: o, steer: steer.NewBalancer(o.Zone), callers: callers, envelopes: sockets, counts: counts, started: o.Now(), cancel: cancel,
-		pool: newPool(o.Common), decisions: newDecisions(), placed: newTimes(), kept: newKept(),
-		positions: make(map[view.ServiceID]view.Version), services: make(map[string]proto.Service),
+		options: o, steer: steer.NewBalancer(o.Zone), callers: callers, envelopeSocket: sockets, counters: counts, started: o.Now(), cancel: cancel,
+		pool: newPool(o.CommonOptions), decisionCounters: newDecisionCounters(), placementTimes: newStartTimes(), searchPackets: newPacketBuffer(),
+		configVersions: make(map[view.ServiceID]view.Version), services: make(map[string]proto.Service),
 	}
-	b.tasks.Go(func() { b.readFrom(b.callers, b.receiveCaller) })
-	b.tasks.Go(func() { pace.Every(ctx, searchInterval, b.resume) })
-	b.tasks.Go(func() { b.read(b.receive) })
+	b.tasks.Go(func() { b.readDatagrams(b.callers, b.receiveFromCaller) })
+	b.tasks.Go(func() { pace.Every(ctx, searchInterval, b.resumeSearches) })
+	b.tasks.Go(func() { b.readEnvelopes(b.receiveEnvelope) })
 	b.tasks.Go(func() {
 		subscribe.Run(ctx, subscribe.Options{
-			Name: o.Name, Control: o.Control, Retry: o.Retry, Pool: b.pool,
-			Adopt: b.adopt, Confirmed: b.confirmed, Now: o.Now, Log: o.Log,
+			Name: o.Name, Control: o.ControlAddrs, Retry: o.Retry, Pool: b.pool,
+			Adopt: b.applyUpdate, Confirmed: b.confirmConfig, Now: o.Now, Log: o.Log,
 		})
 	})
 	return b, nil
 }
 
-// readBuffer is the kernel's receive buffer that is asked for, in bytes.
-const readBuffer = 4 << 20
+// receiveBufferSize is the requested size of the kernel's receive buffer in bytes.
+const receiveBufferSize = 4 << 20
 
-func newPool(o Common) *peer.Pool {
-	p := peer.NewPool(o.TLS)
-	p.SetSilence(o.Silence)
+func newPool(o CommonOptions) *peer.Pool {
+	p := peer.NewPool(o.TLSConfig)
+	p.SetSilence(o.ControlSilenceTimeout)
 	return p
 }
 
 func (b *Balancer) elapsed() time.Duration { return b.options.Now().Sub(b.started) }
 
-// Ready reports whether callers may be sent here.
-func (b *Balancer) Ready() bool { return b.steer.IsConfigConfirmed() && !b.leaving.Load() }
+// Ready reports whether callers may be routed to this balancer.
+func (b *Balancer) Ready() bool { return b.steer.IsConfigConfirmed() && !b.isStopping.Load() }
 
-// Stop goes on for LeaveTime while it is not ready, then closes the sockets.
+// Stop reports the balancer as not ready, serves for ShutdownDelay, then closes the
+// sockets.
 func (b *Balancer) Stop(ctx context.Context) error {
-	b.leaving.Store(true)
-	leave, cancel := context.WithTimeout(ctx, b.options.LeaveTime)
+	b.isStopping.Store(true)
+	delay, cancel := context.WithTimeout(ctx, b.options.ShutdownDelay)
 	defer cancel()
-	<-leave.Done()
+	<-delay.Done()
 	b.cancel()
 	_ = b.callers.Close()
 	err := b.conn.Close()
@@ -136,27 +139,27 @@
 	return err
 }
 
-func (b *Balancer) confirmed(asOf time.Time) {
+func (b *Balancer) confirmConfig(asOf time.Time) {
 	if !b.steer.IsConfigConfirmed() {
-		b.options.Log.Info("Configuration is current.", zap.Time("as_of", asOf))
+		b.options.Log.Info("Control confirmed that the configuration is current.", zap.Time("as_of", asOf))
 	}
 	b.steer.ConfirmConfig()
 }
 
-// adopt puts an update in force.
-func (b *Balancer) adopt(u proto.Update) {
-	now, t := b.elapsed(), b.steer.Table()
+// applyUpdate activates an update.
+func (b *Balancer) applyUpdate(u proto.Update) {
+	now, table := b.elapsed(), b.steer.Table()
 	if len(u.Services) > 0 || len(u.Removed) > 0 {
 		b.setServices(u)
-		t = t.WithRoutes(b.routes())
-		b.options.Log.Info("Adopted a configuration.", zap.Int("addresses", t.RouteCount()))
+		table = table.WithRoutes(b.routes())
+		b.options.Log.Info("Adopted a configuration.", zap.Int("addresses", table.RouteCount()))
 	}
 	for _, v := range u.Views {
-		t = t.WithView(now, v)
+		table = table.WithView(now, v)
 		b.options.Log.Info("Adopted a view.", zap.Uint32("service", uint32(v.Service)),
 			zap.Stringer("version", v.Version), zap.Int("members", len(v.Members)), zap.Int("targets", len(v.Targets())))
 	}
-	b.steer.SetTable(t)
+	b.steer.SetTable(table)
 }
 
 func (b *Balancer) setServices(u proto.Update) {
@@ -167,7 +170,7 @@
 	}
 	for _, s := range u.Services {
 		b.services[s.Name] = s
-		b.positions[s.ID] = s.Version
+		b.configVersions[s.ID] = s.Version
 	}
 }
 
@@ -176,15 +179,15 @@
 	routes := make(steer.Routes)
 	for _, s := range b.services {
 		for _, in := range s.Inbound {
-			routes[in.Addr] = insertPortion(routes[in.Addr], steer.WeightedService{Service: s.ID, Weight: in.Weight})
+			routes[in.Addr] = insertByService(routes[in.Addr], steer.WeightedService{Service: s.ID, Weight: in.Weight})
 		}
 	}
 	return routes
 }
 
-// insertPortion keeps portions in the order of their services, so that all
-// balancers choose alike.
-func insertPortion(list []steer.WeightedService, p steer.WeightedService) []steer.WeightedService {
+// insertByService inserts p in the order of service IDs, so that all balancers make
+// the same choice.
+func insertByService(list []steer.WeightedService, p steer.WeightedService) []steer.WeightedService {
 	i := len(list)
 	for i > 0 && list[i-1].Service > p.Service {
 		i--
@@ -195,107 +198,108 @@
 	return list
 }
 
-func (b *Balancer) position(id view.ServiceID) view.Version {
+func (b *Balancer) configVersion(id view.ServiceID) view.Version {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
-	return b.positions[id]
+	return b.configVersions[id]
 }
 
-// receiveCaller steers a packet of a caller.
-func (b *Balancer) receiveCaller(payload []byte, from netip.AddrPort) {
+// receiveFromCaller routes a packet from a caller.
+func (b *Balancer) receiveFromCaller(payload []byte, from netip.AddrPort) {
 	h, err := b.options.Codec.Decode(payload, FromCaller)
 	if err != nil {
-		b.counts.garbled.Add(1)
-		b.options.Log.Debug("Dropped a packet that cannot be read.", zap.Stringer("from", from), zap.Error(err))
+		b.counters.malformedPackets.Add(1)
+		b.options.Log.Debug("Dropped a malformed packet from a caller.", zap.Stringer("from", from), zap.Error(err))
 		return
 	}
 	now := b.elapsed()
-	b.carryOut(now, &h.Segment, b.steer.Steer(now, &h.Segment), payload)
+	b.execute(now, &h.Segment, b.steer.Steer(now, &h.Segment), payload)
 }
 
-// resume sends the packets on whose last question nobody has answered.
-func (b *Balancer) resume() {
+// resumeSearches continues the searches whose latest probe got no response with the
+// next probe.
+func (b *Balancer) resumeSearches() {
 	now := b.elapsed()
-	b.kept.sweep(now)
+	b.searchPackets.removeExpired(now)
 	for _, id := range b.steer.OverdueSearches(now) {
-		packet := b.kept.get(id)
+		packet := b.searchPackets.get(id)
 		if packet == nil {
 			continue
 		}
 		h, err := b.options.Codec.Decode(packet, FromCaller)
 		if err != nil {
-			b.options.Log.Error("Kept a packet that cannot be read.", zap.Error(err))
-			b.kept.drop(id)
+			b.options.Log.Error("Removed a malformed packet from the search buffer.", zap.Error(err))
+			b.searchPackets.remove(id)
 			continue
 		}
-		b.carryOut(now, &h.Segment, b.steer.Steer(now, &h.Segment), packet)
+		b.execute(now, &h.Segment, b.steer.Steer(now, &h.Segment), packet)
 	}
 }
 
-// receive takes the envelopes of agents.
-func (b *Balancer) receive(h *packet.Header, payload []byte) {
+// receiveEnvelope handles an envelope from an agent.
+func (b *Balancer) receiveEnvelope(h *packet.Header, payload []byte) {
 	switch h.Kind {
 	case packet.Returned:
-		b.returned(h, payload)
+		b.handleReturn(h, payload)
 	case packet.Note:
-		b.noted(h, payload)
+		b.handleNotification(h, payload)
 	default:
-		b.counts.refused.Add(1)
+		b.counters.rejectedEnvelopes.Add(1)
 	}
 }
 
-func (b *Balancer) returned(h *packet.Header, payload []byte) {
-	segment, err := b.options.Codec.Decode(payload, FromCaller)
+func (b *Balancer) handleReturn(h *packet.Header, payload []byte) {
+	header, err := b.options.Codec.Decode(payload, FromCaller)
 	if err != nil || h.Flow.NonOwnerCount == 0 {
-		b.counts.garbled.Add(1)
+		b.counters.malformedPackets.Add(1)
 		return
 	}
-	b.decisions.returned.Add(1)
+	b.decisionCounters.returned.Add(1)
 	now := b.elapsed()
-	decision := b.steer.HandleReturn(now, &segment.Segment, steer.ReturnInfo{
+	decision := b.steer.HandleReturn(now, &header.Segment, steer.ReturnInfo{
 		Service: h.Flow.Service, Seed: h.Flow.NonOwners[0], Hops: h.Flow.Hops, BackendDown: h.Flow.PointerRequested,
 	})
-	b.carryOut(now, &segment.Segment, decision, payload)
+	b.execute(now, &header.Segment, decision, payload)
 }
 
-func (b *Balancer) noted(h *packet.Header, payload []byte) {
-	var n note
+func (b *Balancer) handleNotification(h *packet.Header, payload []byte) {
+	var n notification
 	if err := cbor.Unmarshal(payload, &n); err != nil {
-		b.counts.garbled.Add(1)
-		b.options.Log.Warn("Could not read a note.", zap.Stringer("from", h.ReplyTo), zap.Error(err))
+		b.counters.malformedPackets.Add(1)
+		b.options.Log.Warn("Could not decode a notification.", zap.Stringer("from", h.ReplyTo), zap.Error(err))
 		return
 	}
-	b.decisions.notes.Add(1)
+	b.decisionCounters.notifications.Add(1)
 	now := b.elapsed()
 	b.steer.ReportLoad(now, n.Service, n.Seed, n.Load)
-	if !n.Held {
+	if !n.OwnsFlow {
 		return
 	}
 	id := h.Flow.Tuple.ID()
 	b.steer.ConfirmOwner(now, id, n.Service, n.Seed)
-	b.kept.drop(id)
-	if at, ok := b.placed.take(id); ok {
-		b.placing.Add(now - at)
+	b.searchPackets.remove(id)
+	if placementTime, ok := b.placementTimes.take(id); ok {
+		b.placementLatency.Add(now - placementTime)
 	}
 }
 
-// carryOut does what was decided about a segment.
-func (b *Balancer) carryOut(now time.Duration, s *steer.Segment, d steer.Decision, payload []byte) {
-	b.decisions.byReason[d.Reason].Add(1)
+// execute carries out a decision about a segment.
+func (b *Balancer) execute(now time.Duration, s *steer.Segment, d steer.Decision, payload []byte) {
+	b.decisionCounters.byReason[d.Reason].Add(1)
 	switch d.Verdict {
 	case steer.Forward:
 		switch {
 		case d.Reason == steer.ReasonPlaced && s.Retransmits == 0:
-			b.placed.put(now, s.Tuple.ID())
+			b.placementTimes.record(now, s.Tuple.ID())
 		case d.Reason == steer.ReasonSearched:
-			b.kept.put(now, s.Tuple.ID(), payload)
+			b.searchPackets.put(now, s.Tuple.ID(), payload)
 		}
 		b.forward(s, d, payload)
 	case steer.Reset:
-		b.reset(s)
+		b.sendReset(s)
 	}
 	if d.Verdict != steer.Forward {
-		b.kept.drop(s.Tuple.ID())
+		b.searchPackets.remove(s.Tuple.ID())
 	}
 	b.logDecision(s, d)
 }
@@ -304,22 +308,22 @@
 	b.send(d.To.Addr, &packet.Header{
 		Kind: packet.Forward, ReplyTo: b.conn.Addr(),
 		Flow: flow.Packet{
-			Service: d.Service, Ballot: flow.Ballot{Version: b.position(d.Service)}, TargetIncarnation: d.To.Incarnation,
+			Service: d.Service, Ballot: flow.Ballot{Version: b.configVersion(d.Service)}, TargetIncarnation: d.To.Incarnation,
 			Tuple: s.Tuple, Hops: d.Hops, EarlierPicksComplete: d.OwnerKnown,
 		},
 	}, payload)
 }
 
-func (b *Balancer) reset(s *steer.Segment) {
-	b.decisions.resets.Add(1)
+func (b *Balancer) sendReset(s *steer.Segment) {
+	b.decisionCounters.resets.Add(1)
 	to := netip.AddrPortFrom(s.Tuple.Caller.Addr(), b.options.ReturnPort)
 	if err := b.callers.Write(b.options.Codec.AppendReset(nil, s), to); err != nil {
-		b.counts.failed.Add(1)
+		b.counters.socketErrors.Add(1)
 		b.options.Log.Warn("Could not send a reset.", zap.Stringer("to", to), zap.Error(err))
 	}
 }
 
-// logDecision writes one line for each decision that is not a repetition.
+// logDecision logs each decision except those that reuse a cached owner.
 func (b *Balancer) logDecision(s *steer.Segment, d steer.Decision) {
 	if d.Reason == steer.ReasonCachedOwner {
 		return
@@ -328,17 +332,20 @@
 	if d.Verdict == steer.Forward {
 		to = zap.Stringer("to", d.To.Addr)
 	}
-	b.options.Log.Info(decisionText[d.Verdict],
+	b.options.Log.Info(decisionMessages[d.Verdict],
 		zap.Stringer("caller", s.Tuple.Caller), zap.Stringer("address", s.Tuple.Service),
 		zap.Bool("opens", s.OpensFlow()), zap.Uint32("seq", s.Seq), zap.Uint32("copy", s.Retransmits), zap.Stringer("reason", d.Reason),
 		to, zap.Uint8("hops", d.Hops))
 }
 
-var decisionText = map[steer.Verdict]string{
-	steer.Forward: "Sent a segment to a member.",
+var decisionMessages = map[steer.Verdict]string{
+	steer.Forward: "Forwarded a segment to a backend server.",
 	steer.Reset:   "Reset a flow.",
 	steer.Drop:    "Dropped a segment.",
 }
 
-// Available returns how many backend servers take new flows of an address.
-func (b *Balancer) Available(addr netip.AddrPort) int { return b.steer.Table().AvailableMembers(addr) }
+// AvailableBackends returns the number of backend servers that accept new flows of
+// an address.
+func (b *Balancer) AvailableBackends(addr netip.AddrPort) int {
+	return b.steer.Table().AvailableMembers(addr)
+}
--- a/internal/segment/doc.go
+++ b/internal/segment/doc.go
@@ -1,11 +1,11 @@
 // Package segment runs the balancer and agent roles for services of mode
-// segment: it moves packets that name their flow between callers, balancers,
-// agents and backend servers as core/steer decides.
+// segment: it forwards packets that carry their flow's tuple between callers,
+// balancers, agents and backend servers. core/steer makes the routing decisions.
 //
-// A balancer wraps a caller's packet in an envelope for an agent. The agent
-// hands it to its backend server, or returns it to the balancer, which asks the
-// next agent. The backend server's packets go from the agent to the caller
-// directly.
+// A balancer sends a caller's packet to an agent in an envelope. The agent
+// delivers it to its backend server, or returns it to the balancer, which probes
+// the next agent. The agent sends the backend server's packets directly to the
+// caller.
 package segment
 
 import (
@@ -20,16 +20,16 @@
 var (
 	// Errors is the namespace of this package's error types.
 	Errors = errorx.NewNamespace("segment")
-	// BadAnnouncement refuses what a backend server says of itself.
-	BadAnnouncement = Errors.NewType("bad_announcement").ApplyModifiers(errorx.TypeModifierOmitStackTrace)
-	// Stale refuses what an earlier run of a backend server says of itself.
-	Stale = Errors.NewType("stale").ApplyModifiers(errorx.TypeModifierOmitStackTrace)
+	// ErrInvalidReport is the error type for reports that this agent cannot use.
+	ErrInvalidReport = Errors.NewType("bad_announcement").ApplyModifiers(errorx.TypeModifierOmitStackTrace)
+	// ErrStaleReport is the error type for reports that are older than the latest one.
+	ErrStaleReport = Errors.NewType("stale").ApplyModifiers(errorx.TypeModifierOmitStackTrace)
 )
 
-// Origin tells which end of a flow has written a packet.
+// Origin is the end of a flow that sent a packet.
 type Origin bool
 
-// The origins.
+// The ends of a flow.
 const (
 	FromCaller  Origin = true
 	FromBackend Origin = false
@@ -38,39 +38,39 @@
 // Header is the decoded header of a packet.
 type Header struct {
 	steer.Segment
-	// Origin is FromCaller for a packet that the backend server has bounced.
+	// Origin is FromCaller also for a packet that the backend server bounced.
 	Origin  Origin
 	Bounced bool
-	// Token is the mark that the agent has set.
+	// Token is the token that the agent set on delivery.
 	Token uint32
 }
 
-// Codec reads and writes the headers of packets. Payloads stay where they are.
+// Codec decodes and modifies the headers of packets. It leaves payloads unchanged.
 type Codec interface {
-	// Decode reads the header of a packet that came from one side.
+	// Decode decodes the header of a packet received from one end of a flow.
 	Decode(packet []byte, from Origin) (Header, error)
-	// SetToken marks a packet on its way to the backend server, in place.
+	// SetToken sets the token of a packet to the backend server, in place.
 	SetToken(packet []byte, token uint32)
-	// Restore removes the mark and the sign of a bounce, in place.
+	// Restore clears the token and the bounce flag, in place.
 	Restore(packet []byte)
-	// AppendReset appends the reset that answers a segment of a caller.
+	// AppendReset appends the reset that responds to a caller's segment.
 	AppendReset(dst []byte, s *steer.Segment) []byte
 }
 
-// Instance is what a backend server says of itself.
-type Instance struct {
+// BackendReport is a backend server's report of its own state.
+type BackendReport struct {
 	ID      string
 	Service string
 	Zone    string
-	// Address is where the backend server takes packets.
+	// Address is the address at which the backend server receives packets.
 	Address netip.AddrPort
-	// Run grows with every start of the backend server.
-	Run uint64
-	// Sequence grows with every report of one run.
+	// Incarnation increases with every start of the backend server.
+	Incarnation uint64 `json:"Run"`
+	// Sequence increases with every report of one incarnation.
 	Sequence uint64
-	// Slots is the number of requests it runs at once.
+	// Slots is the number of requests that it runs concurrently.
 	Slots    uint16
 	Draining bool
-	// Warming is how much longer it is slow after its start.
-	Warming time.Duration
+	// WarmupRemaining is the remaining time of reduced performance after a start.
+	WarmupRemaining time.Duration `json:"Warming"`
 }
--- a/internal/segment/dump.go
+++ b/internal/segment/dump.go
@@ -7,13 +7,13 @@
 	"fulmarmount.org/fulmarmount/internal/proto"
 )
 
-// BalancerDump is the state of a balancer.
+// BalancerDump is the state of a balancer in a dump.
 type BalancerDump struct {
-	Callers   netip.AddrPort           `json:"callers"`
-	Envelopes netip.AddrPort           `json:"envelopes"`
-	Ready     bool                     `json:"ready"`
-	Services  map[string]proto.Service `json:"services"`
-	Counters  any                      `json:"counters"`
+	CallerAddr   netip.AddrPort           `json:"callers"`
+	EnvelopeAddr netip.AddrPort           `json:"envelopes"`
+	Ready        bool                     `json:"ready"`
+	Services     map[string]proto.Service `json:"services"`
+	Counters     any                      `json:"counters"`
 }
 
 // Dump returns the state of the role.
@@ -25,44 +25,44 @@
 		services[name] = s
 	}
 	return BalancerDump{
-		Callers: b.callers.Addr(), Envelopes: b.conn.Addr(), Ready: b.Ready(), Services: services, Counters: b.Counters(),
+		CallerAddr: b.callers.Addr(), EnvelopeAddr: b.conn.Addr(), Ready: b.Ready(), Services: services, Counters: b.Counters(),
 	}
 }
 
 // Counters returns the counts of the role.
 func (b *Balancer) Counters() any {
 	return BalancerCounters{
-		Decisions: b.decisions.byName(), Returned: b.decisions.returned.Load(), Resets: b.decisions.resets.Load(),
-		Notes: b.decisions.notes.Load(), Failed: b.counts.failed.Load(), Refused: b.counts.refused.Load(),
-		Garbled: b.counts.garbled.Load(), Flows: b.steer.CachedFlows(), Placing: b.placing.Summary(),
+		Decisions: b.decisionCounters.countsByReason(), Returned: b.decisionCounters.returned.Load(), Resets: b.decisionCounters.resets.Load(),
+		Notifications: b.decisionCounters.notifications.Load(), Failed: b.counters.socketErrors.Load(), Refused: b.counters.rejectedEnvelopes.Load(),
+		Garbled: b.counters.malformedPackets.Load(), CachedFlows: b.steer.CachedFlows(), PlacementLatency: b.placementLatency.Summary(),
 	}
 }
 
-// AgentDump is the state of an agent.
+// AgentDump is the state of an agent in a dump.
 type AgentDump struct {
-	Instance Instance       `json:"instance"`
-	Service  view.ServiceID `json:"service"`
-	Standing string         `json:"standing"`
-	Ended    bool           `json:"ended"`
-	Counters any            `json:"counters"`
+	Report      BackendReport  `json:"instance"`
+	Service     view.ServiceID `json:"service"`
+	State       string         `json:"standing"`
+	BackendDown bool           `json:"ended"`
+	Counters    any            `json:"counters"`
 }
 
 // Dump returns the state of the role.
 func (a *Agent) Dump() any {
 	a.mu.Lock()
-	d := AgentDump{Instance: a.instance, Service: a.service}
+	d := AgentDump{Report: a.report, Service: a.service}
 	a.mu.Unlock()
-	d.Standing, d.Ended, d.Counters = a.host.State().String(), a.host.IsDown(), a.Counters()
+	d.State, d.BackendDown, d.Counters = a.steer.State().String(), a.steer.IsDown(), a.Counters()
 	return d
 }
 
 // Counters returns the counts of the role.
 func (a *Agent) Counters() any {
-	load := a.host.Load()
+	load := a.steer.Load()
 	return AgentCounters{
-		Delivered: a.delivered.Load(), Replied: a.replied.Load(), Returned: a.sentBack.Load(), Bounced: a.bounced.Load(),
-		Reports: a.reports.Load(), Failed: a.counts.failed.Load(),
-		Refused: a.counts.refused.Load(), Garbled: a.counts.garbled.Load(),
-		Flows: load.Flows, Running: load.RunningRequests, Answering: a.answering.Summary(),
+		Delivered: a.delivered.Load(), Replied: a.replied.Load(), Returned: a.returned.Load(), Bounced: a.bounced.Load(),
+		Reports: a.reports.Load(), Failed: a.counters.socketErrors.Load(),
+		Refused: a.counters.rejectedEnvelopes.Load(), Garbled: a.counters.malformedPackets.Load(),
+		Flows: load.Flows, RunningRequests: load.RunningRequests, ResponseLatency: a.responseLatency.Summary(),
 	}
 }
--- a/internal/segment/envelope.go
+++ b/internal/segment/envelope.go
@@ -17,50 +17,52 @@
 	"fulmarmount.org/fulmarmount/internal/udp"
 )
 
-// maxDatagram is the room for one datagram with its envelope, in bytes.
-const maxDatagram = 4096
+// maxDatagramSize is the size of a read buffer in bytes: one datagram and its
+// envelope.
+const maxDatagramSize = 4096
 
-// note is what an agent tells a balancer.
-type note struct {
+// notification is an agent's message to a balancer.
+type notification struct {
 	Seed    uint64         `cbor:"1,keyasint"`
 	Service view.ServiceID `cbor:"2,keyasint"`
 	Load    steer.Load     `cbor:"3,keyasint"`
-	// Held is set where the header's flow is at the agent's backend server.
-	Held bool `cbor:"4,keyasint,omitempty"`
+	// OwnsFlow is set if the agent's backend server owns the flow of the envelope's
+	// header.
+	OwnsFlow bool `cbor:"4,keyasint,omitempty"`
 }
 
-// envelopes is the socket between balancers and agents.
-type envelopes struct {
-	conn   *udp.Conn
-	sealer *packet.Sealer
-	opener *packet.Opener
-	log    *zap.Logger
-	counts *counters
+// envelopeSocket is the socket between balancers and agents.
+type envelopeSocket struct {
+	conn     *udp.Conn
+	sealer   *packet.Sealer
+	opener   *packet.Opener
+	log      *zap.Logger
+	counters *counters
 
 	mu  sync.Mutex
 	buf []byte
 }
 
-// openSockets opens the socket to the one side, callers or a backend server, and
-// the one between balancers and agents.
-func openSockets(o Common, side netip.AddrPort, counts *counters) (*udp.Conn, *envelopes, error) {
-	outer, err := udp.Listen(udp.Options{Addr: side, ReadBuffer: readBuffer})
+// openSockets opens the socket to callers or to a backend server at outerAddr, and
+// the socket between balancers and agents.
+func openSockets(o CommonOptions, outerAddr netip.AddrPort, counts *counters) (*udp.Conn, *envelopeSocket, error) {
+	outer, err := udp.Listen(udp.Options{Addr: outerAddr, ReadBuffer: receiveBufferSize})
 	if err != nil {
 		return nil, nil, err
 	}
-	conn, err := udp.Listen(udp.Options{Addr: o.Packets, ReadBuffer: readBuffer})
+	conn, err := udp.Listen(udp.Options{Addr: o.EnvelopeAddr, ReadBuffer: receiveBufferSize})
 	if err != nil {
 		_ = outer.Close()
 		return nil, nil, err
 	}
-	return outer, &envelopes{
-		conn: conn, sealer: packet.NewSealer(o.Keys, o.Session), opener: packet.NewOpener(o.Keys, o.Now),
-		log: o.Log, counts: counts,
+	return outer, &envelopeSocket{
+		conn: conn, sealer: packet.NewSealer(o.KeyRing, o.SessionID), opener: packet.NewOpener(o.KeyRing, o.Now),
+		log: o.Log, counters: counts,
 	}, nil
 }
 
 // send seals and sends one envelope.
-func (e *envelopes) send(to netip.AddrPort, h *packet.Header, payload []byte) {
+func (e *envelopeSocket) send(to netip.AddrPort, h *packet.Header, payload []byte) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	sealed, err := e.sealer.Seal(e.buf[:0], h, payload)
@@ -69,60 +71,62 @@
 		err = e.conn.Write(sealed, to)
 	}
 	if err != nil {
-		e.counts.failed.Add(1)
+		e.counters.socketErrors.Add(1)
 		e.log.Warn("Could not send an envelope.", zap.Stringer("to", to), zap.Error(err))
 	}
 }
 
-// read hands on each envelope that opens, until the socket is closed.
-func (e *envelopes) read(handle func(h *packet.Header, payload []byte)) {
+// readEnvelopes passes each authenticated envelope to handle until the socket is
+// closed.
+func (e *envelopeSocket) readEnvelopes(handle func(h *packet.Header, payload []byte)) {
 	var header packet.Header
-	e.readFrom(e.conn, func(datagram []byte, from netip.AddrPort) {
+	e.readDatagrams(e.conn, func(datagram []byte, from netip.AddrPort) {
 		payload, err := e.opener.Open(datagram, &header)
 		if err != nil {
-			e.counts.refused.Add(1)
-			e.log.Debug("Refused an envelope.", zap.Stringer("from", from), zap.Error(err))
+			e.counters.rejectedEnvelopes.Add(1)
+			e.log.Debug("Rejected an envelope.", zap.Stringer("from", from), zap.Error(err))
 			return
 		}
 		handle(&header, payload)
 	})
 }
 
-// readFrom hands on each datagram of a socket until the socket is closed. The
+// readDatagrams passes each datagram of a socket to handle until it is closed. The
 // datagram is valid until handle returns.
-func (e *envelopes) readFrom(conn *udp.Conn, handle func(datagram []byte, from netip.AddrPort)) {
-	buf := make([]byte, maxDatagram)
+func (e *envelopeSocket) readDatagrams(conn *udp.Conn, handle func(datagram []byte, from netip.AddrPort)) {
+	buf := make([]byte, maxDatagramSize)
 	for {
 		n, from, _, err := conn.Read(buf)
 		switch {
 		case err == nil:
 			handle(buf[:n], from)
-		case e.ended(err):
+		case e.handleReadError(err):
 			return
 		}
 	}
 }
 
-// readPause is the pause after a read that failed, in case the next one fails too.
-const readPause = 10 * time.Millisecond
+// readRetryDelay is the delay after a failed read, in case the next one fails too.
+const readRetryDelay = 10 * time.Millisecond
 
-// ended reports whether a read failed because its socket was closed. Other failures
-// are logged, and the socket is read on.
-func (e *envelopes) ended(err error) bool {
+// handleReadError reports whether a read failed because its socket was closed. It
+// logs other errors and waits for readRetryDelay.
+func (e *envelopeSocket) handleReadError(err error) bool {
 	if errors.Is(err, net.ErrClosed) {
 		return true
 	}
-	e.counts.failed.Add(1)
+	e.counters.socketErrors.Add(1)
 	e.log.Warn("Could not read from a socket.", zap.Error(err))
-	time.Sleep(readPause)
+	time.Sleep(readRetryDelay)
 	return false
 }
 
-// sendNote tells a balancer about a flow, or about the load alone.
-func (e *envelopes) sendNote(to netip.AddrPort, tuple flow.Tuple, n note) {
+// sendNotification sends a balancer a notification about a flow, or about the load
+// only.
+func (e *envelopeSocket) sendNotification(to netip.AddrPort, tuple flow.Tuple, n notification) {
 	payload, err := cbor.Marshal(n)
 	if err != nil {
-		e.log.Error("Could not encode a note.", zap.Error(err))
+		e.log.Error("Could not encode a notification.", zap.Error(err))
 		return
 	}
 	e.send(to, &packet.Header{
@@ -130,8 +134,8 @@
 	}, payload)
 }
 
-// noTuple fills the header of a note that is about no flow.
-var noTuple = flow.Tuple{
+// zeroTuple is the tuple in the header of a notification about the load only.
+var zeroTuple = flow.Tuple{
 	Caller:  netip.AddrPortFrom(netip.IPv4Unspecified(), 0),
 	Service: netip.AddrPortFrom(netip.IPv4Unspecified(), 0),
 }
--- a/internal/segment/kept.go
+++ b/internal/segment/kept.go
@@ -9,57 +9,61 @@
 )
 
 const (
-	// maxKept bounds the packets that are kept for searches; a search without its
-	// packet goes on when the caller sends again.
-	maxKept = 1024
-	// keepTime is how long a packet is kept.
-	keepTime = 2 * time.Second
-	// searchInterval is how often a balancer looks for questions that nobody answers.
+	// maxBufferedPackets bounds the packets that are buffered for searches. A search
+	// without its packet continues when the caller retransmits.
+	maxBufferedPackets = 1024
+	// packetBufferTime is how long a packet is buffered.
+	packetBufferTime = 2 * time.Second
+	// searchInterval is the interval at which a balancer checks for probes without a
+	// response.
 	searchInterval = 20 * time.Millisecond
 )
 
-// kept holds the first packet of each flow that is searched for.
-type kept struct {
+// packetBuffer holds the first packet of each flow whose owner is searched for.
+type packetBuffer struct {
 	mu      *sync.Mutex
-	packets map[flow.ID]keptPacket
+	packets map[flow.ID]bufferedPacket
 }
 
-type keptPacket struct {
-	since time.Duration
-	bytes []byte
+type bufferedPacket struct {
+	bufferedAt time.Duration
+	data       []byte
 }
 
-func newKept() kept { return kept{mu: &sync.Mutex{}, packets: make(map[flow.ID]keptPacket)} }
+func newPacketBuffer() packetBuffer {
+	return packetBuffer{mu: &sync.Mutex{}, packets: make(map[flow.ID]bufferedPacket)}
+}
 
-// put keeps a copy of a packet, unless one of its flow is kept.
-func (k *kept) put(now time.Duration, id flow.ID, packet []byte) {
+// put buffers a copy of a packet, unless its flow has one or the buffer is full.
+func (k *packetBuffer) put(now time.Duration, id flow.ID, packet []byte) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if _, known := k.packets[id]; known || len(k.packets) >= maxKept {
+	if _, isBuffered := k.packets[id]; isBuffered || len(k.packets) >= maxBufferedPackets {
 		return
 	}
-	k.packets[id] = keptPacket{since: now, bytes: bytes.Clone(packet)}
+	k.packets[id] = bufferedPacket{bufferedAt: now, data: bytes.Clone(packet)}
 }
 
 // get returns the packet of a flow, or nil. The caller must not change it.
-func (k *kept) get(id flow.ID) []byte {
+func (k *packetBuffer) get(id flow.ID) []byte {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.packets[id].bytes
+	return k.packets[id].data
 }
 
-func (k *kept) drop(id flow.ID) {
+func (k *packetBuffer) remove(id flow.ID) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	delete(k.packets, id)
 }
 
-// sweep drops packets that were kept for long enough.
-func (k *kept) sweep(now time.Duration) {
+// removeExpired removes the packets that have been buffered for more than
+// packetBufferTime.
+func (k *packetBuffer) removeExpired(now time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for id, p := range k.packets {
-		if now-p.since > keepTime {
+		if now-p.bufferedAt > packetBufferTime {
 			delete(k.packets, id)
 		}
 	}
--- a/internal/segment/report.go
+++ b/internal/segment/report.go
@@ -11,74 +11,78 @@
 )
 
 const (
-	// activeTime is how long a balancer is told about the load after its last
-	// packet.
-	activeTime = 5 * time.Second
-	// reportEvery is the time between reports of an unchanged load.
-	reportEvery = time.Second
-	// reportsPerTick bounds the reports of one tick: 100 a second of 150 bytes are
-	// three quarters of what a daemon may send for control.
-	reportsPerTick = 10
-	// maxTold is the number of balancers beyond which none is told: a report would
-	// be older than balancers let it hold when the next one comes. They hear of the
-	// load with the answer to each SYN.
-	maxTold = 300
+	// balancerActiveTime is how long after its last packet a balancer receives load
+	// reports.
+	balancerActiveTime = 5 * time.Second
+	// reportInterval is the time between reports of an unchanged load.
+	reportInterval = time.Second
+	// maxReportsPerTick bounds the reports of one tick: 100 reports a second of 150
+	// bytes are three quarters of the rate allowed to a daemon for control messages.
+	maxReportsPerTick = 10
+	// maxReportedBalancers is the number of balancers beyond which none receives load
+	// reports: each report would expire at its balancer before the next one arrives.
+	// Balancers then learn the load from the notification for each SYN.
+	maxReportedBalancers = 300
 )
 
-// balancers are those that have sent packets lately, and what they were told.
-type balancers struct {
-	mu   *sync.Mutex
-	last map[netip.AddrPort]*report
+// loadReporter tracks the balancers that have recently sent packets and the load
+// last reported to each.
+type loadReporter struct {
+	mu     *sync.Mutex
+	byAddr map[netip.AddrPort]*balancerRecord
 }
 
-// report is what one balancer was told.
-type report struct {
-	addr  netip.AddrPort
-	heard time.Duration
-	// at is when it was told, untold before that.
-	at   time.Duration
-	load steer.Load
+// balancerRecord is the state of the load reports to one balancer.
+type balancerRecord struct {
+	addr       netip.AddrPort
+	lastPacket time.Duration
+	// lastReport is the time of the last report, or neverReported.
+	lastReport   time.Duration
+	reportedLoad steer.Load
 }
 
-// untold is before every time, so that who was never told comes first.
-const untold = time.Duration(-1)
+// neverReported sorts before every time, so that balancers without a report come
+// first.
+const neverReported = time.Duration(-1)
 
-func newBalancers() balancers {
-	return balancers{mu: &sync.Mutex{}, last: make(map[netip.AddrPort]*report)}
+func newLoadReporter() loadReporter {
+	return loadReporter{mu: &sync.Mutex{}, byAddr: make(map[netip.AddrPort]*balancerRecord)}
 }
 
-func (b *balancers) heard(now time.Duration, balancer netip.AddrPort) {
+func (b *loadReporter) recordPacket(now time.Duration, balancer netip.AddrPort) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	known := b.last[balancer]
-	if known == nil {
-		known = &report{addr: balancer, at: untold}
-		b.last[balancer] = known
+	record := b.byAddr[balancer]
+	if record == nil {
+		record = &balancerRecord{addr: balancer, lastReport: neverReported}
+		b.byAddr[balancer] = record
 	}
-	known.heard = now
+	record.lastPacket = now
 }
 
-// due returns the balancers to tell a load now, those first that were told longest
-// ago, and notes them as told.
-func (b *balancers) due(now time.Duration, load steer.Load) []netip.AddrPort {
+// takeDue returns the balancers to which load is to be reported now, the one with the
+// oldest report first, and records them as reported.
+func (b *loadReporter) takeDue(now time.Duration, load steer.Load) []netip.AddrPort {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var due []*report
-	for balancer, r := range b.last {
+	var due []*balancerRecord
+	for balancer, r := range b.byAddr {
 		switch {
-		case now-r.heard > activeTime:
-			delete(b.last, balancer)
-		case r.at == untold || r.load != load || now-r.at >= reportEvery:
+		case now-r.lastPacket > balancerActiveTime:
+			delete(b.byAddr, balancer)
+		case r.lastReport == neverReported || r.reportedLoad != load || now-r.lastReport >= reportInterval:
 			due = append(due, r)
 		}
 	}
-	if len(b.last) > maxTold {
+	if len(b.byAddr) > maxReportedBalancers {
 		return nil
 	}
-	slices.SortFunc(due, func(a, b *report) int { return cmp.Or(cmp.Compare(a.at, b.at), a.addr.Compare(b.addr)) })
+	slices.SortFunc(due, func(a, b *balancerRecord) int {
+		return cmp.Or(cmp.Compare(a.lastReport, b.lastReport), a.addr.Compare(b.addr))
+	})
 	var out []netip.AddrPort
-	for _, r := range due[:min(len(due), reportsPerTick)] {
-		r.at, r.load = now, load
+	for _, r := range due[:min(len(due), maxReportsPerTick)] {
+		r.lastReport, r.reportedLoad = now, load
 		out = append(out, r.addr)
 	}
 	return out
--- a/internal/segment/report_test.go
+++ b/internal/segment/report_test.go
@@ -14,49 +14,50 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(n >> 8), byte(n)}), 7000)
 }
 
-// play lets n balancers send packets and the load change for ten seconds, and
-// returns how often each was told.
-func play(n int) map[netip.AddrPort]int {
-	b := newBalancers()
-	told := make(map[netip.AddrPort]int)
+// simulateReports simulates n balancers that send packets and a load that changes
+// with every tick for ten seconds. It returns the number of reports to each balancer.
+func simulateReports(n int) map[netip.AddrPort]int {
+	b := newLoadReporter()
+	reports := make(map[netip.AddrPort]int)
 	for now := time.Duration(0); now < 10*time.Second; now += tickInterval {
 		for i := range n {
-			b.heard(now, balancerAddr(i))
+			b.recordPacket(now, balancerAddr(i))
 		}
-		for _, balancer := range b.due(now, steer.Load{RunningRequests: uint32(now / tickInterval)}) {
-			told[balancer]++
+		for _, balancer := range b.takeDue(now, steer.Load{RunningRequests: uint32(now / tickInterval)}) {
+			reports[balancer]++
 		}
 	}
-	return told
+	return reports
 }
 
-// Few balancers hear of every change; many share what a daemon may send.
-func TestReportsKeepToTheirBudget(t *testing.T) {
+// A few balancers receive every change of the load; many share the send rate of a
+// daemon.
+func TestLoadReportsStayWithinBudget(t *testing.T) {
 	const ticks = 100
-	for _, c := range []struct{ balancers, each int }{
+	for _, c := range []struct{ balancers, reportsEach int }{
 		{4, ticks},
-		{reportsPerTick, ticks},
-		{5 * reportsPerTick, ticks / 5},
-		{maxTold, ticks * reportsPerTick / maxTold},
+		{maxReportsPerTick, ticks},
+		{5 * maxReportsPerTick, ticks / 5},
+		{maxReportedBalancers, ticks * maxReportsPerTick / maxReportedBalancers},
 	} {
 		is := is.New(t)
-		told := play(c.balancers)
-		is.Equal(len(told), c.balancers)
-		for _, times := range told {
-			is.True(times >= c.each && times <= c.each+1)
+		reports := simulateReports(c.balancers)
+		is.Equal(len(reports), c.balancers)
+		for _, count := range reports {
+			is.True(count >= c.reportsEach && count <= c.reportsEach+1)
 		}
 	}
-	is.New(t).Equal(len(play(maxTold+1)), 0) // answers to SYNs alone tell the load
+	is.New(t).Equal(len(simulateReports(maxReportedBalancers+1)), 0) // only notifications for SYNs carry the load
 }
 
-func TestUnchangedLoadIsToldEachSecond(t *testing.T) {
+func TestUnchangedLoadIsReportedEverySecond(t *testing.T) {
 	is := is.New(t)
-	b := newBalancers()
-	times := 0
+	b := newLoadReporter()
+	reports := 0
 	for now := time.Duration(0); now <= 3*time.Second; now += tickInterval {
-		b.heard(now, balancerAddr(1))
-		times += len(b.due(now, steer.Load{Flows: 3}))
+		b.recordPacket(now, balancerAddr(1))
+		reports += len(b.takeDue(now, steer.Load{Flows: 3}))
 	}
-	is.Equal(times, 4)
-	is.Equal(len(b.due(20*time.Second, steer.Load{})), 0) // it has sent nothing for long
+	is.Equal(reports, 4)
+	is.Equal(len(b.takeDue(20*time.Second, steer.Load{})), 0) // no packet within balancerActiveTime
 }
--- a/internal/segment/segment_test.go
+++ b/internal/segment/segment_test.go
@@ -23,22 +23,22 @@
 	"fulmarmount.org/fulmarmount/internal/subscribe"
 )
 
-// patience bounds waits; it decides nothing where the code works.
-const patience = 20 * time.Second
+// waitTimeout bounds waits; a passing test never reaches it.
+const waitTimeout = 20 * time.Second
 
-// codec is a format of the test's own: flags, bounced, token, caller, service.
+// codec implements a test format: flags, bounced, token, caller, service.
 type codec struct{}
 
-const testHeader = 18
+const testHeaderSize = 18
 
 func (codec) Decode(b []byte, from segment.Origin) (segment.Header, error) {
-	if len(b) < testHeader {
-		return segment.Header{}, segment.BadAnnouncement.New("short packet")
+	if len(b) < testHeaderSize {
+		return segment.Header{}, segment.ErrInvalidReport.New("short packet")
 	}
 	return segment.Header{
 		Origin: from, Bounced: b[1] == 1, Token: binary.BigEndian.Uint32(b[2:]),
 		Segment: steer.Segment{
-			Flags: steer.Flags(b[0]), Length: len(b) - testHeader,
+			Flags: steer.Flags(b[0]), Length: len(b) - testHeaderSize,
 			Tuple: flow.Tuple{Caller: addrAt(b[6:]), Service: addrAt(b[12:])},
 		},
 	}, nil
@@ -60,7 +60,7 @@
 }
 
 func encode(t flow.Tuple, flags steer.Flags, data string) []byte {
-	b := make([]byte, testHeader, testHeader+len(data))
+	b := make([]byte, testHeaderSize, testHeaderSize+len(data))
 	b[0] = byte(flags)
 	for i, addr := range []netip.AddrPort{t.Caller, t.Service} {
 		ip := addr.Addr().As4()
@@ -70,9 +70,9 @@
 	return append(b, data...)
 }
 
-// host is a backend server that knows its flows, bounces others and answers data
-// with its name.
-type host struct {
+// backendServer is a fake backend server. It bounces packets of unknown flows and
+// responds to data with its name.
+type backendServer struct {
 	name     string
 	conn     *net.UDPConn
 	outbound netip.AddrPort
@@ -80,18 +80,18 @@
 	flows    map[flow.Tuple]bool
 }
 
-func (h *host) run() {
+func (h *backendServer) run() {
 	buf := make([]byte, 2048)
 	for {
 		n, err := h.conn.Read(buf)
 		if err != nil {
 			return
 		}
-		_, _ = h.conn.WriteToUDPAddrPort(h.answer(buf[:n]), h.outbound)
+		_, _ = h.conn.WriteToUDPAddrPort(h.respond(buf[:n]), h.outbound)
 	}
 }
 
-func (h *host) answer(b []byte) []byte {
+func (h *backendServer) respond(b []byte) []byte {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	in, _ := codec{}.Decode(b, segment.FromCaller)
@@ -106,8 +106,8 @@
 	return b
 }
 
-// held returns the number of flows that the host holds.
-func (h *host) held() int {
+// flowCount returns the number of flows that the backend server owns.
+func (h *backendServer) flowCount() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.flows)
@@ -115,18 +115,18 @@
 
 // fleet is a control process with one service, its balancers and agents.
 type fleet struct {
-	t       *testing.T
-	set     *keys.Set
-	control *control.Control
-	address netip.AddrPort
-	callers netip.AddrPort // of the newest balancer
+	t           *testing.T
+	keySet      *keys.Set
+	control     *control.Control
+	serviceAddr netip.AddrPort
+	callerAddr  netip.AddrPort // of the latest balancer
 }
 
 func newFleet(t *testing.T) *fleet {
 	t.Helper()
-	f := &fleet{t: t, address: netip.MustParseAddrPort("198.18.0.1:443"), callers: freeAddr(t)}
+	f := &fleet{t: t, serviceAddr: netip.MustParseAddrPort("198.18.0.1:443"), callerAddr: freeAddr(t)}
 	var err error
-	if f.set, err = keys.Ephemeral(time.Now()); err != nil {
+	if f.keySet, err = keys.Ephemeral(time.Now()); err != nil {
 		t.Fatal(err)
 	}
 	f.control, err = control.Start(control.Options{
@@ -138,7 +138,7 @@
 	}
 	t.Cleanup(func() { _ = f.control.Close() })
 	f.control.SetServices([]proto.Service{{
-		ID: 1, Name: "desk", Mode: proto.ModeSegment, Inbound: []proto.Inbound{{Addr: f.address, Weight: 1}},
+		ID: 1, Name: "desk", Mode: proto.ModeSegment, Inbound: []proto.Inbound{{Addr: f.serviceAddr, Weight: 1}},
 	}})
 	return f
 }
@@ -154,69 +154,69 @@
 }
 
 func (f *fleet) identity(name string) *keys.Identity {
-	id, err := f.set.Identity(name, time.Now())
+	id, err := f.keySet.Identity(name, time.Now())
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	return id
 }
 
-// ring gives the packet codec the set's keys.
-type ring struct{ *keys.Ring }
+// keyRing implements packet.KeyRing with the key set's ring.
+type keyRing struct{ *keys.Ring }
 
-func (r ring) Active() (uint8, []byte) {
+func (r keyRing) Active() (uint8, []byte) {
 	k, _ := r.Ring.Active(time.Now())
 	return uint8(k.ID), k.Secret[:]
 }
 
-func (r ring) Secret(uint8) ([]byte, bool) {
+func (r keyRing) Secret(uint8) ([]byte, bool) {
 	_, secret := r.Active()
 	return secret, true
 }
 
-var sessions uint64
+var lastSessionID uint64
 
-func (f *fleet) common(name string) segment.Common {
-	sessions++
+func (f *fleet) commonOptions(name string) segment.CommonOptions {
+	lastSessionID++
 	id := f.identity(name)
-	return segment.Common{
-		Name: name, Zone: "a", Control: subscribe.Fixed(f.control.Addr()), Packets: freeAddr(f.t),
+	return segment.CommonOptions{
+		Name: name, Zone: "a", ControlAddrs: subscribe.Fixed(f.control.Addr()), EnvelopeAddr: freeAddr(f.t),
 		Retry:      subscribe.Retry{First: 20 * time.Millisecond, Max: 50 * time.Millisecond},
-		ReturnPort: f.callers.Port(), Keys: ring{f.set.Ring}, Session: sessions, Codec: codec{}, Now: time.Now, Log: zap.NewNop(),
-		TLS: func() *tls.Config { return id.ClientTLSFor("", []keys.Role{keys.Control}, peer.Protocol) },
+		ReturnPort: f.callerAddr.Port(), KeyRing: keyRing{f.keySet.Ring}, SessionID: lastSessionID, Codec: codec{}, Now: time.Now, Log: zap.NewNop(),
+		TLSConfig: func() *tls.Config { return id.ClientTLSFor("", []keys.Role{keys.Control}, peer.Protocol) },
 	}
 }
 
-// startBalancer starts a balancer and waits until it knows of n members.
+// startBalancer starts a balancer and waits until it has n backend servers available.
 func (f *fleet) startBalancer(n int) *segment.Balancer {
 	f.t.Helper()
-	b, err := segment.StartBalancer(segment.BalancerOptions{Common: f.common("balancer"), Callers: f.callers})
+	b, err := segment.StartBalancer(segment.BalancerOptions{CommonOptions: f.commonOptions("balancer"), CallerAddr: f.callerAddr})
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	f.t.Cleanup(func() { _ = b.Stop(context.Background()) })
-	f.until("the balancer knows the members", func() bool { return b.Ready() && b.Available(f.address) == n })
+	f.waitFor("the balancer is ready and has all backend servers available", func() bool { return b.Ready() && b.AvailableBackends(f.serviceAddr) == n })
 	return b
 }
 
-// startHost starts a backend server and the agent beside it.
-func (f *fleet) startHost(name string) (*host, *segment.Agent) {
+// startBackend starts a backend server and the agent beside it.
+func (f *fleet) startBackend(name string) (*backendServer, *segment.Agent) {
 	f.t.Helper()
 	conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	f.t.Cleanup(func() { _ = conn.Close() })
-	h := &host{name: name, conn: conn, outbound: freeAddr(f.t), flows: make(map[flow.Tuple]bool)}
+	h := &backendServer{name: name, conn: conn, outbound: freeAddr(f.t), flows: make(map[flow.Tuple]bool)}
 	go h.run()
 	return h, f.startAgent(h)
 }
 
-func (f *fleet) startAgent(h *host) *segment.Agent {
+func (f *fleet) startAgent(h *backendServer) *segment.Agent {
 	f.t.Helper()
 	a, err := segment.StartAgent(segment.AgentOptions{
-		Common: f.common("agent-" + h.name), Service: "desk", Backend: h.addr(), Outbound: h.outbound,
-		Patience: patience, IdleTimeout: time.Minute,
+		CommonOptions: f.commonOptions("agent-" + h.name), Service: "desk", BackendAddr: h.addr(), OutboundAddr: h.outbound,
+		BackendSilenceTimeout: waitTimeout, IdleTimeout: time.Minute,
 	})
 	if err != nil {
 		f.t.Fatal(err)
@@ -225,36 +225,37 @@
 	return a
 }
 
-func (h *host) addr() netip.AddrPort { return netip.MustParseAddrPort(h.conn.LocalAddr().String()) }
+func (h *backendServer) addr() netip.AddrPort {
+	return netip.MustParseAddrPort(h.conn.LocalAddr().String())
+}
 
-// report returns what the backend server says of itself.
-func (h *host) report(sequence uint64) segment.Instance {
-	return segment.Instance{ID: h.name, Service: "desk", Address: h.addr(), Run: 1, Sequence: sequence, Slots: 4}
+// report returns a report of the backend server.
+func (h *backendServer) report(sequence uint64) segment.BackendReport {
+	return segment.BackendReport{ID: h.name, Service: "desk", Address: h.addr(), Incarnation: 1, Sequence: sequence, Slots: 4}
 }
 
-func (f *fleet) until(what string, done func() bool) {
+func (f *fleet) waitFor(what string, done func() bool) {
 	f.t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if done() {
 			return
 		}
 	}
-	f.t.Fatalf("%s: not within %s", what, patience)
+	f.t.Fatalf("%s: not within %s", what, waitTimeout)
 }
 
-// caller is one end of flows; its packets come from any port.
+// caller sends packets of flows from any source port.
 type caller struct {
 	f    *fleet
 	addr netip.Addr
 	conn *net.UDPConn
 }
 
-// newCaller returns a caller at an address of its own, at the port where callers
-// take packets.
+// newCaller returns a caller at its own address, bound to the return port.
 func (f *fleet) newCaller() *caller {
 	f.t.Helper()
 	addr := netip.AddrFrom4([4]byte{127, 0, 0, 2})
-	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(addr, f.callers.Port())))
+	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(addr, f.callerAddr.Port())))
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -262,32 +263,32 @@
 	return &caller{f: f, addr: addr, conn: conn}
 }
 
-// once sends a packet a single time and returns what its answer carries.
-func (c *caller) once(port int, data string) string {
+// sendOnce sends a packet once and returns the payload of the response.
+func (c *caller) sendOnce(port int, data string) string {
 	c.f.t.Helper()
-	tuple := flow.Tuple{Caller: netip.AddrPortFrom(c.addr, uint16(port)), Service: c.f.address}
-	_, _ = c.conn.WriteToUDPAddrPort(encode(tuple, steer.ACK, data), c.f.callers)
-	_ = c.conn.SetReadDeadline(time.Now().Add(patience))
+	tuple := flow.Tuple{Caller: netip.AddrPortFrom(c.addr, uint16(port)), Service: c.f.serviceAddr}
+	_, _ = c.conn.WriteToUDPAddrPort(encode(tuple, steer.ACK, data), c.f.callerAddr)
+	_ = c.conn.SetReadDeadline(time.Now().Add(waitTimeout))
 	buf := make([]byte, 2048)
 	for {
 		n, err := c.conn.Read(buf)
 		if err != nil {
-			c.f.t.Fatalf("flow %d: no answer to a packet that was sent once: %v", port, err)
+			c.f.t.Fatalf("flow %d: no response to a packet that was sent once: %v", port, err)
 		}
 		h, err := codec{}.Decode(buf[:n], segment.FromBackend)
 		if err == nil && h.Tuple == tuple {
-			return string(buf[testHeader:n])
+			return string(buf[testHeaderSize:n])
 		}
 	}
 }
 
-// exchange sends a packet until it is answered.
-func (c *caller) exchange(port int, flags steer.Flags, data string) (steer.Flags, string) {
+// sendUntilAnswered retransmits a packet until it receives a response.
+func (c *caller) sendUntilAnswered(port int, flags steer.Flags, data string) (steer.Flags, string) {
 	c.f.t.Helper()
-	tuple := flow.Tuple{Caller: netip.AddrPortFrom(c.addr, uint16(port)), Service: c.f.address}
+	tuple := flow.Tuple{Caller: netip.AddrPortFrom(c.addr, uint16(port)), Service: c.f.serviceAddr}
 	buf := make([]byte, 2048)
-	for end := time.Now().Add(patience); time.Now().Before(end); {
-		_, _ = c.conn.WriteToUDPAddrPort(encode(tuple, flags, data), c.f.callers)
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); {
+		_, _ = c.conn.WriteToUDPAddrPort(encode(tuple, flags, data), c.f.callerAddr)
 		_ = c.conn.SetReadDeadline(time.Now().Add(300 * time.Millisecond))
 		n, err := c.conn.Read(buf)
 		if err != nil {
@@ -295,127 +296,127 @@
 		}
 		h, err := codec{}.Decode(buf[:n], segment.FromBackend)
 		if err == nil && h.Tuple == tuple {
-			return h.Flags, string(buf[testHeader:n])
+			return h.Flags, string(buf[testHeaderSize:n])
 		}
 	}
-	c.f.t.Fatal("no answer")
+	c.f.t.Fatal("no response")
 	return 0, ""
 }
 
-func TestFlowsOutliveBalancersAndAgents(t *testing.T) {
+func TestFlowsSurviveBalancerAndAgentRestarts(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t)
-	hosts, agents := map[string]*host{}, map[string]*segment.Agent{}
+	backends, agents := map[string]*backendServer{}, map[string]*segment.Agent{}
 	for _, name := range []string{"host-1", "host-2", "host-3"} {
-		hosts[name], agents[name] = f.startHost(name)
-		is.NoErr(agents[name].Heard(hosts[name].report(1)))
+		backends[name], agents[name] = f.startBackend(name)
+		is.NoErr(agents[name].HandleReport(backends[name].report(1)))
 	}
 	balancer := f.startBalancer(3)
 	c := f.newCaller()
 	const flows = 30
 	owner := make(map[int]string)
 	for port := 1000; port < 1000+flows; port++ {
-		flags, _ := c.exchange(port, steer.SYN, "")
+		flags, _ := c.sendUntilAnswered(port, steer.SYN, "")
 		is.Equal(flags, steer.SYN|steer.ACK)
-		_, owner[port] = c.exchange(port, steer.ACK, "who")
+		_, owner[port] = c.sendUntilAnswered(port, steer.ACK, "who")
 	}
-	check := func(what string) {
+	checkOwners := func(what string) {
 		t.Helper()
 		for port, name := range owner {
-			if _, got := c.exchange(port, steer.ACK, "who"); got != name {
+			if _, got := c.sendUntilAnswered(port, steer.ACK, "who"); got != name {
 				t.Fatalf("%s: flow %d moved from %s to %s", what, port, name, got)
 			}
 		}
 	}
 	is.NoErr(balancer.Stop(context.Background()))
 	f.startBalancer(3)
-	check("after a balancer's restart")
-	for name, h := range hosts {
+	checkOwners("after a balancer's restart")
+	for name, h := range backends {
 		is.NoErr(agents[name].Stop(context.Background()))
 		agents[name] = f.startAgent(h)
-		is.NoErr(agents[name].Heard(h.report(2)))
-		check("after an agent's restart")
+		is.NoErr(agents[name].HandleReport(h.report(2)))
+		checkOwners("after an agent's restart")
 	}
 	total := 0
-	for _, h := range hosts {
-		is.True(h.held() > 0) // load was spread
-		total += h.held()
+	for _, h := range backends {
+		is.True(h.flowCount() > 0) // the flows were distributed
+		total += h.flowCount()
 	}
 	is.Equal(total, flows)
 }
 
-func TestDrainingBackendServerGetsNothingNewAtOnce(t *testing.T) {
+func TestDrainingBackendServerGetsNoNewFlowsImmediately(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t)
-	leaving, agent := f.startHost("host-1")
-	is.NoErr(agent.Heard(leaving.report(1)))
-	staying, other := f.startHost("host-2")
-	is.NoErr(other.Heard(staying.report(1)))
+	draining, agent := f.startBackend("host-1")
+	is.NoErr(agent.HandleReport(draining.report(1)))
+	serving, other := f.startBackend("host-2")
+	is.NoErr(other.HandleReport(serving.report(1)))
 	f.startBalancer(2)
 	c := f.newCaller()
-	last := leaving.report(2)
-	last.Draining = true
-	is.NoErr(agent.Heard(last)) // its agent turns new flows away before any view says so
+	drainingReport := draining.report(2)
+	drainingReport.Draining = true
+	is.NoErr(agent.HandleReport(drainingReport)) // the agent refuses new flows before a view lists it as draining
 	for port := 1000; port < 1020; port++ {
-		flags, _ := c.exchange(port, steer.SYN, "")
+		flags, _ := c.sendUntilAnswered(port, steer.SYN, "")
 		is.Equal(flags, steer.SYN|steer.ACK)
 	}
-	is.Equal(leaving.held(), 0)
-	is.Equal(staying.held(), 20)
+	is.Equal(draining.flowCount(), 0)
+	is.Equal(serving.flowCount(), 20)
 }
 
-func TestReportsOfEarlierRunsAreStale(t *testing.T) {
+func TestStaleReportsAreRejected(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t)
-	h, agent := f.startHost("host-1")
-	now := h.report(5)
-	now.Run = 7
-	is.NoErr(agent.Heard(now))
-	earlier := h.report(9)
-	is.True(agent.Heard(earlier) != nil) // of run 1
-	late := now
-	late.Sequence = 4
-	is.True(agent.Heard(late) != nil)
-	is.NoErr(agent.Heard(now)) // sent again
-	elsewhere := now
-	elsewhere.Address = netip.MustParseAddrPort("127.0.0.1:9")
-	is.True(agent.Heard(elsewhere) != nil)
+	h, agent := f.startBackend("host-1")
+	current := h.report(5)
+	current.Incarnation = 7
+	is.NoErr(agent.HandleReport(current))
+	earlierIncarnation := h.report(9)
+	is.True(agent.HandleReport(earlierIncarnation) != nil) // of incarnation 1
+	earlierSequence := current
+	earlierSequence.Sequence = 4
+	is.True(agent.HandleReport(earlierSequence) != nil)
+	is.NoErr(agent.HandleReport(current)) // a duplicate is accepted
+	otherAddr := current
+	otherAddr.Address = netip.MustParseAddrPort("127.0.0.1:9")
+	is.True(agent.HandleReport(otherAddr) != nil)
 }
 
-func TestFlowsOfAnEndedBackendServerAreReset(t *testing.T) {
+func TestFlowsOfDeregisteredBackendServerAreReset(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t)
-	h, agent := f.startHost("host-1")
-	is.NoErr(agent.Heard(h.report(1)))
+	h, agent := f.startBackend("host-1")
+	is.NoErr(agent.HandleReport(h.report(1)))
 	f.startBalancer(1)
 	c := f.newCaller()
-	c.exchange(1000, steer.SYN, "")
-	agent.Goodbye("host-1")
-	flags, _ := c.exchange(1000, steer.ACK, "who")
+	c.sendUntilAnswered(1000, steer.SYN, "")
+	agent.Deregister("host-1")
+	flags, _ := c.sendUntilAnswered(1000, steer.ACK, "who")
 	is.Equal(flags, steer.RST)
 }
 
-// An agent that is gone leaves questions unanswered. The flows of others are found
-// without waiting for their callers to send again.
-func TestFlowsAreFoundBesideAnAgentThatIsGone(t *testing.T) {
+// A stopped agent does not respond to probes. The search must continue with the next
+// agent without waiting for the caller to retransmit.
+func TestFlowSearchSkipsUnresponsiveAgent(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t)
-	staying, agent := f.startHost("host-1")
-	is.NoErr(agent.Heard(staying.report(1)))
+	staying, agent := f.startBackend("host-1")
+	is.NoErr(agent.HandleReport(staying.report(1)))
 	first := f.startBalancer(1)
 	c := f.newCaller()
 	const flows = 20
 	for port := 1000; port < 1000+flows; port++ {
-		flags, _ := c.exchange(port, steer.SYN, "")
+		flags, _ := c.sendUntilAnswered(port, steer.SYN, "")
 		is.Equal(flags, steer.SYN|steer.ACK)
-		c.exchange(port, steer.ACK, "who")
+		c.sendUntilAnswered(port, steer.ACK, "who")
 	}
-	gone, other := f.startHost("host-2")
-	is.NoErr(other.Heard(gone.report(1)))
+	backend2, other := f.startBackend("host-2")
+	is.NoErr(other.HandleReport(backend2.report(1)))
 	is.NoErr(first.Stop(context.Background()))
 	f.startBalancer(2)
 	is.NoErr(other.Stop(context.Background()))
 	for port := 1000; port < 1000+flows; port++ {
-		is.Equal(c.once(port, "who"), staying.name)
+		is.Equal(c.sendOnce(port, "who"), staying.name)
 	}
 }
--- a/internal/segment/times.go
+++ b/internal/segment/times.go
@@ -7,32 +7,34 @@
 	"fulmarmount.org/core/flow"
 )
 
-// maxTimes bounds the flows whose placing is being measured.
-const maxTimes = 4096
+// maxStartTimes bounds the flows whose latency is being measured.
+const maxStartTimes = 4096
 
-// times holds when something began for flows.
-type times struct {
-	mu *sync.Mutex
-	at map[flow.ID]time.Duration
+// startTimes holds the start times of latency measurements by flow.
+type startTimes struct {
+	mu     *sync.Mutex
+	byFlow map[flow.ID]time.Duration
 }
 
-func newTimes() times { return times{mu: &sync.Mutex{}, at: make(map[flow.ID]time.Duration)} }
+func newStartTimes() startTimes {
+	return startTimes{mu: &sync.Mutex{}, byFlow: make(map[flow.ID]time.Duration)}
+}
 
-// put notes a beginning. Where too many never ended, all are forgotten.
-func (t *times) put(now time.Duration, id flow.ID) {
+// record stores a start time. If maxStartTimes measurements are open, it clears all.
+func (t *startTimes) record(now time.Duration, id flow.ID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if len(t.at) >= maxTimes {
-		clear(t.at)
+	if len(t.byFlow) >= maxStartTimes {
+		clear(t.byFlow)
 	}
-	t.at[id] = now
+	t.byFlow[id] = now
 }
 
-// take returns a beginning and forgets it.
-func (t *times) take(id flow.ID) (time.Duration, bool) {
+// take returns and removes a start time.
+func (t *startTimes) take(id flow.ID) (time.Duration, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	at, ok := t.at[id]
-	delete(t.at, id)
+	at, ok := t.byFlow[id]
+	delete(t.byFlow, id)
 	return at, ok
 }
