--- a/internal/node/roles.go
+++ b/internal/node/roles.go
@@ -22,7 +22,7 @@
 	now func() time.Time
 }
 
-// Active implements packet.Keys. The wire carries the lowest byte of the key's
+// Active implements packet.KeyRing. The wire carries the lowest byte of the key's
 // ID: a ring holds far fewer keys than that tells apart.
 func (r ring) Active() (id uint8, secret []byte) {
 	k, ok := r.Ring.Active(r.now())
@@ -32,7 +32,7 @@
 	return uint8(k.ID), k.Secret[:]
 }
 
-// Secret implements packet.Keys.
+// Secret implements packet.KeyRing.
 func (r ring) Secret(id uint8) ([]byte, bool) {
 	for _, k := range r.Keys() {
 		if uint8(k.ID) == id {
--- a/internal/packet/packet_test.go
+++ b/internal/packet/packet_test.go
@@ -11,25 +11,25 @@
 	"fulmarmount.org/core/view"
 )
 
-type ring struct {
+type testRing struct {
 	active uint8
 	keys   map[uint8][]byte
 }
 
-func (r *ring) Active() (uint8, []byte) { return r.active, r.keys[r.active] }
+func (r *testRing) Active() (uint8, []byte) { return r.active, r.keys[r.active] }
 
-func (r *ring) Secret(id uint8) ([]byte, bool) {
+func (r *testRing) Secret(id uint8) ([]byte, bool) {
 	k, ok := r.keys[id]
 	return k, ok
 }
 
-func newRing() *ring {
-	return &ring{active: 1, keys: map[uint8][]byte{1: make([]byte, 32)}}
+func newRing() *testRing {
+	return &testRing{active: 1, keys: map[uint8][]byte{1: make([]byte, 32)}}
 }
 
-var epoch = time.Unix(0, 0)
+var testTime = time.Unix(0, 0)
 
-func still() time.Time { return epoch }
+func fixedClock() time.Time { return testTime }
 
 func header() Header {
 	return Header{
@@ -51,20 +51,20 @@
 		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(i)}), 7001)
 		return flow.Peer{Seed: uint64(i) << 40, Incarnation: view.Incarnation(i), Addr: addr}
 	}
-	short, prior, full := header(), header(), header()
-	prior.Flow.EarlierPicks[0] = peer(3)
-	full.Flow.Kind, full.Flow.PointerRequested, full.Flow.Ballot.Retake = flow.Assign, true, true
-	full.Flow.Home, full.Flow.SupersededHome = peer(4), peer(5)
-	for i := range full.Flow.EarlierPicks {
-		full.Flow.EarlierPicks[i] = peer(10 + i)
+	minimal, earlierPick, allFields := header(), header(), header()
+	earlierPick.Flow.EarlierPicks[0] = peer(3)
+	allFields.Flow.Kind, allFields.Flow.PointerRequested, allFields.Flow.Ballot.Retake = flow.Assign, true, true
+	allFields.Flow.Home, allFields.Flow.SupersededHome = peer(4), peer(5)
+	for i := range allFields.Flow.EarlierPicks {
+		allFields.Flow.EarlierPicks[i] = peer(10 + i)
 	}
-	for i := range full.Flow.NonOwners {
-		full.Flow.NonOwners[i] = uint64(i + 1)
+	for i := range allFields.Flow.NonOwners {
+		allFields.Flow.NonOwners[i] = uint64(i + 1)
 	}
-	full.Flow.NonOwnerCount = flow.MaxNonOwners
-	wide := full
-	wide.Flow.Tuple.Caller = netip.MustParseAddrPort("[2001:db8::1]:4000")
-	for name, h := range map[string]Header{"short": short, "prior": prior, "full": full, "wide": wide} {
+	allFields.Flow.NonOwnerCount = flow.MaxNonOwners
+	ipv6 := allFields
+	ipv6.Flow.Tuple.Caller = netip.MustParseAddrPort("[2001:db8::1]:4000")
+	for name, h := range map[string]Header{"no optional field": minimal, "an earlier pick": earlierPick, "every IPv4 field": allFields, "IPv6": ipv6} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			keys := newRing()
@@ -72,7 +72,7 @@
 			is.NoErr(err)
 			is.True(len(b) <= len("payload")+MaxOverhead)
 			var got Header
-			payload, err := NewOpener(keys, still).Open(b, &got)
+			payload, err := NewOpener(keys, fixedClock).Open(b, &got)
 			is.NoErr(err)
 			is.Equal(string(payload), "payload")
 			is.Equal(got, h)
@@ -80,8 +80,9 @@
 	}
 }
 
-// TestMaxPayload checks that the smallest path a QUIC connection needs fits.
-func TestMaxPayload(t *testing.T) {
+// QUIC requires a path for datagrams of 1200 bytes; an envelope for an MTU of 1500
+// must have room for them.
+func TestMaxPayloadFitsMinimumQUICDatagram(t *testing.T) {
 	is := is.New(t)
 	const quicDatagram = 1200
 	h := header()
@@ -90,8 +91,9 @@
 	is.True(h.MaxPayload(1500) >= quicDatagram)
 }
 
-// TestEarlierPicksThatHaveDeniedTravelNoFurther keeps relayed envelopes short.
-func TestEarlierPicksThatHaveDeniedTravelNoFurther(t *testing.T) {
+// Relayed envelopes would grow with every hop if they carried earlier picks that
+// are already listed as non-owners.
+func TestNonOwnersAreOmittedFromEarlierPicks(t *testing.T) {
 	is := is.New(t)
 	h := header()
 	h.Flow.EarlierPicks = flow.EarlierPicks{{Seed: 1, Incarnation: 1}, {Seed: 2, Incarnation: 1}}
@@ -103,7 +105,7 @@
 	is.True(got.Flow.EarlierPicks[1].IsZero())
 }
 
-func TestOpenRefuses(t *testing.T) {
+func TestOpenRejectsInvalidEnvelopes(t *testing.T) {
 	keys := newRing()
 	h := header()
 	sealed, err := NewSealer(keys, 42).Seal(nil, &h, []byte("payload"))
@@ -115,37 +117,37 @@
 		b[i] ^= 1
 		return b
 	}
-	other := &ring{active: 2, keys: map[uint8][]byte{2: make([]byte, 32)}}
+	other := &testRing{active: 2, keys: map[uint8][]byte{2: make([]byte, 32)}}
 	cases := []struct {
 		name string
-		keys Keys
+		keys KeyRing
 		data []byte
 		want error
 	}{
 		{"empty", keys, nil, ErrMalformed},
 		{"not an envelope", keys, []byte("GET / HTTP/1.1"), ErrMalformed},
-		{"cut in the header", keys, sealed[:fixedSize+3], ErrMalformed},
-		{"cut in the tag", keys, sealed[:len(sealed)-1], ErrForged},
-		{"changed service", keys, flip(23), ErrForged},
-		{"changed payload", keys, flip(len(sealed) - TagSize - 1), ErrForged},
-		{"changed session", keys, flip(sessionOffset), ErrForged},
-		{"changed sequence", keys, flip(sequenceOffset + 7), ErrForged},
-		{"key not in the ring", other, sealed, ErrUnknownKey},
+		{"truncated header", keys, sealed[:fixedSize+3], ErrMalformed},
+		{"truncated tag", keys, sealed[:len(sealed)-1], ErrForged},
+		{"modified service", keys, flip(23), ErrForged},
+		{"modified payload", keys, flip(len(sealed) - TagSize - 1), ErrForged},
+		{"modified session", keys, flip(sessionOffset), ErrForged},
+		{"modified sequence", keys, flip(sequenceOffset + 7), ErrForged},
+		{"key ID not in the ring", other, sealed, ErrUnknownKey},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			var got Header
-			_, err := NewOpener(c.keys, still).Open(c.data, &got)
+			_, err := NewOpener(c.keys, fixedClock).Open(c.data, &got)
 			is.Equal(err, c.want)
 		})
 	}
 }
 
-func TestReplayIsRefusedOnceAndReorderAccepted(t *testing.T) {
+func TestOpenRejectsReplayedAndAcceptsReorderedEnvelopes(t *testing.T) {
 	is := is.New(t)
 	keys := newRing()
-	s, o, h := NewSealer(keys, 42), NewOpener(keys, still), header()
+	s, o, h := NewSealer(keys, 42), NewOpener(keys, fixedClock), header()
 	var sealed [][]byte
 	for range 3 {
 		b, err := s.Seal(nil, &h, nil)
@@ -160,10 +162,10 @@
 	}
 }
 
-func TestSuccessorRefusesWhatItsPredecessorReceived(t *testing.T) {
+func TestImportedSessionsRejectReplayedEnvelopes(t *testing.T) {
 	is := is.New(t)
 	keys := newRing()
-	s, before, h := NewSealer(keys, 42), NewOpener(keys, still), header()
+	s, predecessor, h := NewSealer(keys, 42), NewOpener(keys, fixedClock), header()
 	var sealed [][]byte
 	for range 3 {
 		b, err := s.Seal(nil, &h, nil)
@@ -171,37 +173,37 @@
 		sealed = append(sealed, b)
 	}
 	for _, i := range []int{0, 2} {
-		_, err := before.Open(sealed[i], &h)
+		_, err := predecessor.Open(sealed[i], &h)
 		is.NoErr(err)
 	}
-	after := NewOpener(keys, still)
-	is.NoErr(after.Import(append(before.Export(), Session{Session: 1, Key: 9})))
+	successor := NewOpener(keys, fixedClock)
+	is.NoErr(successor.Import(append(predecessor.Export(), SessionState{ID: 1, KeyID: 9})))
 	for i, want := range []error{ErrReplayed, nil, ErrReplayed} {
-		_, err := after.Open(sealed[i], &h)
+		_, err := successor.Open(sealed[i], &h)
 		is.Equal(err, want)
 	}
 }
 
-func TestRotationKeepsOldEnvelopesUntilTheKeyLeaves(t *testing.T) {
+func TestEnvelopesOfOldKeyOpenUntilItIsRemoved(t *testing.T) {
 	is := is.New(t)
 	keys := newRing()
-	s, o, h := NewSealer(keys, 42), NewOpener(keys, still), header()
-	old, err := s.Seal(nil, &h, nil)
+	s, o, h := NewSealer(keys, 42), NewOpener(keys, fixedClock), header()
+	sealedOld, err := s.Seal(nil, &h, nil)
 	is.NoErr(err)
 	keys.keys[2], keys.active = []byte("another secret of 32 bytes......"), 2
-	fresh, err := s.Seal(nil, &h, nil)
+	sealedNew, err := s.Seal(nil, &h, nil)
 	is.NoErr(err)
-	is.Equal(fresh[3], uint8(2))
-	_, err = o.Open(old, &h)
+	is.Equal(sealedNew[3], uint8(2))
+	_, err = o.Open(sealedOld, &h)
 	is.NoErr(err)
-	_, err = o.Open(fresh, &h)
+	_, err = o.Open(sealedNew, &h)
 	is.NoErr(err)
 	delete(keys.keys, 1)
-	_, err = o.Open(old, &h)
+	_, err = o.Open(sealedOld, &h)
 	is.Equal(err, ErrUnknownKey)
 }
 
-func TestWindow(t *testing.T) {
+func TestReplayWindow(t *testing.T) {
 	is := is.New(t)
 	var w window
 	is.True(!w.accept(0))
@@ -225,9 +227,9 @@
 	f.Add(b)
 	f.Fuzz(func(t *testing.T, data []byte) {
 		var got Header
-		payload, err := NewOpener(newRing(), still).Open(data, &got)
+		payload, err := NewOpener(newRing(), fixedClock).Open(data, &got)
 		if err == nil && string(payload) != "payload" {
-			t.Fatalf("an envelope that was never sealed opened to %q", payload)
+			t.Fatalf("Open accepted an envelope that was never sealed; payload %q", payload)
 		}
 	})
 }
--- a/internal/packet/window.go
+++ b/internal/packet/window.go
@@ -1,28 +1,28 @@
 package packet
 
-// windowBits is how far behind the newest sequence number an envelope may be.
-// Sprayed packets arrive out of order by far less.
+// windowBits is the size of the replay window in sequence numbers. Sprayed
+// packets are reordered by far less.
 const windowBits = 4096
 
 // window is a sliding replay window as in RFC 4303, section 3.4.3.
 type window struct {
-	newest uint64
-	bits   [windowBits / 64]uint64
+	highest uint64
+	bits    [windowBits / 64]uint64
 }
 
-// accept reports whether sequence is new, and remembers it.
+// accept records sequence and reports whether it is new.
 func (w *window) accept(sequence uint64) bool {
 	if sequence == 0 {
 		return false
 	}
-	if sequence > w.newest {
+	if sequence > w.highest {
 		w.advance(sequence)
 		return true
 	}
-	if w.newest-sequence >= windowBits {
+	if w.highest-sequence >= windowBits {
 		return false
 	}
-	word, bit := w.slot(sequence)
+	word, bit := w.bitOf(sequence)
 	if w.bits[word]&bit != 0 {
 		return false
 	}
@@ -30,22 +30,23 @@
 	return true
 }
 
-// advance moves the window up to sequence and clears what it uncovers.
+// advance moves the window up to sequence and clears the bits of the skipped
+// sequence numbers.
 func (w *window) advance(sequence uint64) {
-	if sequence-w.newest >= windowBits {
+	if sequence-w.highest >= windowBits {
 		w.bits = [windowBits / 64]uint64{}
 	} else {
-		for s := w.newest + 1; s < sequence; s++ {
-			word, bit := w.slot(s)
+		for s := w.highest + 1; s < sequence; s++ {
+			word, bit := w.bitOf(s)
 			w.bits[word] &^= bit
 		}
 	}
-	w.newest = sequence
-	word, bit := w.slot(sequence)
+	w.highest = sequence
+	word, bit := w.bitOf(sequence)
 	w.bits[word] |= bit
 }
 
-func (w *window) slot(sequence uint64) (word int, bit uint64) {
+func (w *window) bitOf(sequence uint64) (word int, bit uint64) {
 	i := sequence % windowBits
 	return int(i / 64), 1 << (i % 64)
 }
--- a/internal/role/agent/agent.go
+++ b/internal/role/agent/agent.go
@@ -56,7 +56,7 @@
 	// ClientTLS returns the settings of a connection to control.
 	ClientTLS func() *tls.Config
 	// Keys seal the envelopes.
-	Keys packet.Keys
+	Keys packet.KeyRing
 	// Handover is the file in which a stopping agent of a service of mode packet
 	// leaves its flows to its successor; empty for none.
 	Handover string
--- a/internal/role/agent/packets.go
+++ b/internal/role/agent/packets.go
@@ -53,7 +53,7 @@
 		switch header.Kind {
 		case packet.Forward:
 			a.receive(&header, payload, out)
-		case packet.Control:
+		case packet.Ownership:
 			a.receiveOwnership(&header, payload)
 		default:
 			a.stats.Refused.Add(1)
--- a/internal/role/agent/pointers.go
+++ b/internal/role/agent/pointers.go
@@ -16,7 +16,7 @@
 // pushInterval is how often pointers that are due are sent.
 const pushInterval = 50 * time.Millisecond
 
-// ownership is the payload of a packet.Control envelope between agents. One
+// ownership is the payload of a packet.Ownership envelope between agents. One
 // field is set.
 type ownership struct {
 	Batch *locator.Batch `cbor:"1,keyasint,omitempty"`
@@ -41,7 +41,7 @@
 		a.stats.Failed.Add(1)
 		return
 	}
-	header := packet.Header{Kind: packet.Control, Flow: flow.Packet{
+	header := packet.Header{Kind: packet.Ownership, Flow: flow.Packet{
 		Service:           view.ServiceID(a.service.Load()),
 		TargetIncarnation: to.Incarnation,
 	}}
--- a/internal/role/agent/succession.go
+++ b/internal/role/agent/succession.go
@@ -38,15 +38,15 @@
 // succession is what an agent leaves to the next process on its VM, which goes on
 // as the same run: its flows, the promises about others, and what is in force.
 type succession struct {
-	At          time.Time        `cbor:"1,keyasint"`
-	ID          string           `cbor:"2,keyasint"`
-	Incarnation view.Incarnation `cbor:"3,keyasint"`
-	Sequence    uint64           `cbor:"4,keyasint"`
-	Services    []proto.Service  `cbor:"5,keyasint"`
-	View        *view.View       `cbor:"6,keyasint"`
-	Entries     []flow.Record    `cbor:"7,keyasint"`
-	Sockets     []savedSocket    `cbor:"8,keyasint"`
-	Sessions    []packet.Session `cbor:"9,keyasint"`
+	At          time.Time             `cbor:"1,keyasint"`
+	ID          string                `cbor:"2,keyasint"`
+	Incarnation view.Incarnation      `cbor:"3,keyasint"`
+	Sequence    uint64                `cbor:"4,keyasint"`
+	Services    []proto.Service       `cbor:"5,keyasint"`
+	View        *view.View            `cbor:"6,keyasint"`
+	Entries     []flow.Record         `cbor:"7,keyasint"`
+	Sockets     []savedSocket         `cbor:"8,keyasint"`
+	Sessions    []packet.SessionState `cbor:"9,keyasint"`
 }
 
 // savedSocket is the socket of one owned flow. The successor binds the same local
--- a/internal/role/balancer/balancer.go
+++ b/internal/role/balancer/balancer.go
@@ -51,7 +51,7 @@
 	// TLS returns the settings of a connection to control or an agent.
 	TLS func() *tls.Config
 	// Keys seal the envelopes.
-	Keys packet.Keys
+	Keys packet.KeyRing
 	// Session is a random number for this run's envelopes.
 	Session uint64
 	// Now is the clock.
--- a/internal/role/balancer/handover.go
+++ b/internal/role/balancer/handover.go
@@ -17,7 +17,7 @@
 
 // The kinds of item that a balancer hands over.
 const (
-	itemEnvelopes = "envelopes" // the envelope socket; the body is a []packet.Session
+	itemEnvelopes = "envelopes" // the envelope socket; the body is a []packet.SessionState
 	itemListener  = "listener"  // a socket on a service address; the body is a listenerItem
 	itemState     = "state"     // the services and views in force, a proto.Update
 )
@@ -168,7 +168,7 @@
 
 // inheritSessions refuses what the predecessor has already received.
 func (b *Balancer) inheritSessions(item handover.Item) {
-	var sessions []packet.Session
+	var sessions []packet.SessionState
 	err := cbor.Unmarshal(item.Body, &sessions)
 	if err == nil {
 		err = b.opener.Import(sessions)
--- a/internal/segment/agent.go
+++ b/internal/segment/agent.go
@@ -206,7 +206,7 @@
 		zap.Stringer("caller", s.Tuple.Caller), zap.Stringer("address", s.Tuple.Service), zap.Bool("opens", s.OpensFlow()),
 		zap.Uint32("seq", s.Seq), zap.Stringer("refusal", refusal), zap.Stringer("balancer", forwardInfo.Balancer), zap.Uint8("hops", forwardInfo.Hops))
 	a.send(forwardInfo.Balancer, &packet.Header{
-		Kind: packet.Returned, ReplyTo: a.conn.Addr(),
+		Kind: packet.Return, ReplyTo: a.conn.Addr(),
 		Flow: flow.Packet{
 			Service: forwardInfo.Service, Tuple: s.Tuple, Hops: forwardInfo.Hops, EarlierPicksComplete: forwardInfo.OwnerKnown,
 			PointerRequested: refusal == steer.RefusalBackendDown, NonOwners: [flow.MaxNonOwners]uint64{a.seed()}, NonOwnerCount: 1,
--- a/internal/segment/balancer.go
+++ b/internal/segment/balancer.go
@@ -42,7 +42,7 @@
 	// TLSConfig returns the TLS configuration for connections to control.
 	TLSConfig func() *tls.Config
 	// KeyRing provides the keys that seal the envelopes.
-	KeyRing packet.Keys
+	KeyRing packet.KeyRing
 	// SessionID is a random number that identifies this process's envelopes.
 	SessionID uint64
 	Codec     Codec
@@ -239,9 +239,9 @@
 // receiveEnvelope handles an envelope from an agent.
 func (b *Balancer) receiveEnvelope(h *packet.Header, payload []byte) {
 	switch h.Kind {
-	case packet.Returned:
+	case packet.Return:
 		b.handleReturn(h, payload)
-	case packet.Note:
+	case packet.Notification:
 		b.handleNotification(h, payload)
 	default:
 		b.counters.rejectedEnvelopes.Add(1)
--- a/internal/segment/envelope.go
+++ b/internal/segment/envelope.go
@@ -130,7 +130,7 @@
 		return
 	}
 	e.send(to, &packet.Header{
-		Kind: packet.Note, ReplyTo: e.conn.Addr(), Flow: flow.Packet{Service: n.Service, Tuple: tuple},
+		Kind: packet.Notification, ReplyTo: e.conn.Addr(), Flow: flow.Packet{Service: n.Service, Tuple: tuple},
 	}, payload)
 }
 
