--- a/internal/role/agent/succession.go
+++ b/internal/role/agent/succession.go
@@ -154,7 +154,7 @@
 // are lost; callers send them again.
 func (a *Agent) bequeath() error {
 	a.cancel()
-	if err := a.envelopes.SetDeadline(udp.LongAgo); err != nil {
+	if err := a.envelopes.SetDeadline(udp.ExpiredDeadline); err != nil {
 		return errorx.DecorateMany("agent does not stop", err, a.Close())
 	}
 	a.envelopesRead.Wait()
--- a/internal/role/balancer/balancer.go
+++ b/internal/role/balancer/balancer.go
@@ -140,7 +140,7 @@
 func openEnvelopes(o Options) (*udp.Conn, error) {
 	for _, item := range o.Inherited {
 		if conn, ok := item.Socket.(*net.UDPConn); ok && item.Kind == itemEnvelopes {
-			return udp.Inherit(conn)
+			return udp.NewConn(conn)
 		}
 	}
 	return udp.Listen(udp.Options{Addr: o.Packets, ReadBuffer: o.ReadBuffer})
--- a/internal/role/balancer/handover.go
+++ b/internal/role/balancer/handover.go
@@ -39,7 +39,7 @@
 func (b *Balancer) Pause() (handover.Bundle, error) {
 	b.mu.Lock()
 	b.paused = true
-	b.setDeadlines(udp.LongAgo)
+	b.setDeadlines(udp.ExpiredDeadline)
 	b.mu.Unlock()
 	// A reader may want the lock for its last datagram.
 	b.readers.Wait()
@@ -143,7 +143,7 @@
 func inheritedSocket(item handover.Item) (listener, error) {
 	switch s := item.Socket.(type) {
 	case *net.UDPConn:
-		return udp.Inherit(s)
+		return udp.NewConn(s)
 	case *net.TCPListener:
 		return s, nil
 	default:
--- a/internal/role/balancer/streams.go
+++ b/internal/role/balancer/streams.go
@@ -23,7 +23,7 @@
 func (b *Balancer) listenTCP(addr netip.AddrPort) (*net.TCPListener, error) {
 	config := &net.ListenConfig{}
 	if b.options.Spray > 0 {
-		config = udp.ReusePort()
+		config = udp.ReusePortConfig()
 	}
 	l, err := config.Listen(context.Background(), "tcp4", addr.String())
 	if err != nil {
--- a/internal/udp/info.go
+++ b/internal/udp/info.go
@@ -7,14 +7,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// pktinfoSize is the length of struct in_pktinfo: interface index, local
-// address and header destination, four bytes each.
+// pktinfoSize is the length in bytes of struct in_pktinfo: interface index, local
+// address and destination address of the IP header, four bytes each.
 const pktinfoSize = 12
 
-// destination returns the destination address in the packet-info message of a
-// received datagram. It reads the one message in place, since the library's
-// parser allocates for every packet.
-func destination(oob []byte) (netip.Addr, bool) {
+// parseDestination returns the destination address in the IP_PKTINFO control
+// message of a received datagram. It reads the single message in place because
+// the library's parser allocates for every packet.
+func parseDestination(oob []byte) (netip.Addr, bool) {
 	header := unix.SizeofCmsghdr
 	if len(oob) < header+pktinfoSize {
 		return netip.Addr{}, false
@@ -28,9 +28,9 @@
 	return netip.AddrFrom4([4]byte(info[8:12])), true
 }
 
-// source appends a packet-info message that sets the source address of a
-// datagram to send.
-func source(oob []byte, from netip.Addr) []byte {
+// appendSource appends an IP_PKTINFO control message that sets the source address
+// of an outgoing datagram.
+func appendSource(oob []byte, from netip.Addr) []byte {
 	length := unix.CmsgLen(pktinfoSize)
 	oob = binary.NativeEndian.AppendUint64(oob, uint64(length))
 	oob = binary.NativeEndian.AppendUint32(oob, unix.IPPROTO_IP)
--- a/internal/udp/reuse.go
+++ b/internal/udp/reuse.go
@@ -7,11 +7,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// ReusePort returns a ListenConfig whose sockets several processes may bind to
-// one address.
-func ReusePort() *net.ListenConfig {
+// ReusePortConfig returns a ListenConfig that sets SO_REUSEPORT, so that several
+// processes can bind the same address.
+func ReusePortConfig() *net.ListenConfig {
 	return &net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
-		return withDescriptor(raw, func(fd int) error {
+		return withFD(raw, func(fd int) error {
 			return unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
 		})
 	}}
--- a/internal/udp/udp_test.go
+++ b/internal/udp/udp_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func TestWildcardSocketReportsAndChoosesAddresses(t *testing.T) {
+func TestWildcardSocketReportsDestinationAndSetsSource(t *testing.T) {
 	is := is.New(t)
 	server, err := Listen(Options{Addr: netip.MustParseAddrPort("0.0.0.0:0")})
 	is.NoErr(err)
@@ -32,7 +32,7 @@
 	is.Equal(from, service)
 }
 
-func TestSprayHandsPacketsOfOneFlowToBothSockets(t *testing.T) {
+func TestSprayDistributesOneFlowOverAllSockets(t *testing.T) {
 	is := is.New(t)
 	options := Options{Addr: netip.MustParseAddrPort("127.0.3.8:0"), Spray: 2}
 	first, err := Listen(options)
@@ -46,7 +46,7 @@
 	is.NoErr(err)
 	defer client.Close()
 
-	seen := make(chan int)
+	received := make(chan int)
 	for i, c := range []*Conn{first, second} {
 		go func() {
 			buf := make([]byte, 16)
@@ -54,15 +54,15 @@
 				if _, _, _, err := c.Read(buf); err != nil {
 					return
 				}
-				seen <- i
+				received <- i
 			}
 		}()
 	}
-	// One flow of 64 packets lands on one socket alone once in 2^63 runs.
+	// All 64 packets of the flow reach a single socket with probability 2^-63.
 	var count [2]int
 	for range 64 {
 		is.NoErr(client.Write([]byte("x"), first.Addr()))
-		count[<-seen]++
+		count[<-received]++
 	}
 	is.True(count[0] > 0)
 	is.True(count[1] > 0)
