--- a/internal/role/agent/tunnel.go
+++ b/internal/role/agent/tunnel.go
@@ -31,7 +31,7 @@
 		}
 		return
 	}
-	splice.Both(conn, s)
+	splice.CopyBidirectional(conn, s)
 }
 
 // connect dials the backend server, or tells why not.
--- a/internal/role/balancer/streams.go
+++ b/internal/role/balancer/streams.go
@@ -61,7 +61,7 @@
 		splice.Reset(conn)
 		return
 	}
-	splice.Both(conn, tunnel)
+	splice.CopyBidirectional(conn, tunnel)
 }
 
 func (b *Balancer) openTunnel(t target, caller netip.AddrPort) (*peer.Stream, error) {
--- a/internal/splice/splice.go
+++ b/internal/splice/splice.go
@@ -1,4 +1,4 @@
-// Package splice joins a TCP connection and a peer stream, byte for byte.
+// Package splice relays bytes between a TCP connection and a peer stream.
 package splice
 
 import (
@@ -9,21 +9,22 @@
 	"fulmarmount.org/fulmarmount/internal/peer"
 )
 
-// Both copies in both directions until both have ended, and keeps half-closed
-// directions apart. An error in one direction resets both, so that neither end
-// takes a cut stream for a whole one.
-func Both(conn *net.TCPConn, stream *peer.Stream) {
+// CopyBidirectional copies in both directions until both have ended. It closes
+// each direction separately, so that half-closed connections work. An error in one
+// direction resets both, so that neither end mistakes a truncated stream for a
+// complete one.
+func CopyBidirectional(conn *net.TCPConn, stream *peer.Stream) {
 	var directions sync.WaitGroup
 	directions.Go(func() {
 		if _, err := io.Copy(stream, conn); err != nil {
-			fail(conn, stream)
+			abort(conn, stream)
 			return
 		}
 		_ = stream.Close()
 	})
 	directions.Go(func() {
 		if _, err := io.Copy(conn, stream); err != nil {
-			fail(conn, stream)
+			abort(conn, stream)
 			return
 		}
 		_ = conn.CloseWrite()
@@ -32,13 +33,14 @@
 	_ = conn.Close()
 }
 
-// Reset closes a connection so that its peer sees an error, not an end.
+// Reset closes a TCP connection with RST, so that the remote end reads an error
+// instead of EOF.
 func Reset(conn *net.TCPConn) {
 	_ = conn.SetLinger(0)
 	_ = conn.Close()
 }
 
-func fail(conn *net.TCPConn, stream *peer.Stream) {
+func abort(conn *net.TCPConn, stream *peer.Stream) {
 	stream.Abort()
 	Reset(conn)
 }
