--- a/internal/segment/announce.go
+++ b/internal/segment/announce.go
@@ -19,33 +19,33 @@
 // HandleReport applies a report of the backend server. It returns an error of type
 // ErrInvalidReport if the report is not from the backend server beside this agent,
 // and one of type ErrStaleReport if the report is older than the latest one.
-func (a *Agent) HandleReport(i BackendReport) error {
-	if i.Address != a.options.BackendAddr {
-		return ErrInvalidReport.New("backend server %q is at %s, not beside this agent at %s", i.ID, i.Address, a.options.BackendAddr)
+func (a *Agent) HandleReport(r BackendReport) error {
+	if r.Address != a.options.BackendAddr {
+		return ErrInvalidReport.New("backend server %q is at %s, not beside this agent at %s", r.ID, r.Address, a.options.BackendAddr)
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	previous := a.report
 	switch {
-	case i.Incarnation < previous.Incarnation:
-		return ErrStaleReport.New("run %d of %q is older than run %d of %q", i.Incarnation, i.ID, previous.Incarnation, previous.ID)
-	case i.Incarnation == previous.Incarnation && i.Sequence < previous.Sequence:
-		return ErrStaleReport.New("report %d of %q is older than report %d", i.Sequence, i.ID, previous.Sequence)
+	case r.Incarnation < previous.Incarnation:
+		return ErrStaleReport.New("run %d of %q is older than run %d of %q", r.Incarnation, r.ID, previous.Incarnation, previous.ID)
+	case r.Incarnation == previous.Incarnation && r.Sequence < previous.Sequence:
+		return ErrStaleReport.New("report %d of %q is older than report %d", r.Sequence, r.ID, previous.Sequence)
 	}
-	if i.Incarnation > previous.Incarnation {
-		a.startIncarnation(i)
+	if r.Incarnation > previous.Incarnation {
+		a.startIncarnation(r)
 	}
 	state := steer.BackendServing
-	if i.Draining {
+	if r.Draining {
 		state = steer.BackendDraining
 	}
-	hasChanged := i.Incarnation != previous.Incarnation || i.Draining != previous.Draining || i.Slots != previous.Slots
-	a.report, a.announcementCount = i, 0
+	hasChanged := r.Incarnation != previous.Incarnation || r.Draining != previous.Draining || r.Slots != previous.Slots
+	a.report, a.announcementCount = r, 0
 	a.steer.SetState(state)
 	a.reports.Add(1)
 	if hasChanged {
-		a.options.Log.Info("Backend server's state changed.", zap.String("id", i.ID), zap.String("service", i.Service),
-			zap.Uint64("run", i.Incarnation), zap.Stringer("standing", state), zap.Duration("warming", i.WarmupRemaining))
+		a.options.Log.Info("Backend server's state changed.", zap.String("id", r.ID), zap.String("service", r.Service),
+			zap.Uint64("run", r.Incarnation), zap.Stringer("standing", state), zap.Duration("warming", r.WarmupRemaining))
 		a.requestAnnouncement()
 	}
 	return nil
@@ -53,14 +53,14 @@
 
 // startIncarnation starts a new incarnation of the backend server. The caller holds
 // the lock.
-func (a *Agent) startIncarnation(i BackendReport) {
-	isAlreadyRunning := a.report.Incarnation == 0 && i.Sequence > 1
-	a.steer.StartIncarnation(view.Incarnation(i.Incarnation), isAlreadyRunning)
-	if i.Service != a.options.Service {
-		a.options.Log.Warn("Backend server changed its service; subscribing to the new one.", zap.String("service", i.Service), zap.String("before", a.options.Service))
-		a.options.Service, a.service = i.Service, 0
+func (a *Agent) startIncarnation(r BackendReport) {
+	mayHaveFlows := a.report.Incarnation == 0 && r.Sequence > 1
+	a.steer.StartIncarnation(view.Incarnation(r.Incarnation), mayHaveFlows)
+	if r.Service != a.options.Service {
+		a.options.Log.Warn("Backend server reported a different service; subscribing to it.", zap.String("service", r.Service), zap.String("before", a.options.Service))
+		a.options.Service, a.service = r.Service, 0
 		a.steer.ClearService()
-		a.subscribe(i.Service)
+		a.subscribe(r.Service)
 	}
 }
 
--- a/internal/segment/segment_test.go
+++ b/internal/segment/segment_test.go
@@ -401,8 +401,8 @@
 func TestFlowSearchSkipsUnresponsiveAgent(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t)
-	staying, agent := f.startBackend("host-1")
-	is.NoErr(agent.HandleReport(staying.report(1)))
+	backend1, agent := f.startBackend("host-1")
+	is.NoErr(agent.HandleReport(backend1.report(1)))
 	first := f.startBalancer(1)
 	c := f.newCaller()
 	const flows = 20
@@ -417,6 +417,6 @@
 	f.startBalancer(2)
 	is.NoErr(other.Stop(context.Background()))
 	for port := 1000; port < 1000+flows; port++ {
-		is.Equal(c.sendOnce(port, "who"), staying.name)
+		is.Equal(c.sendOnce(port, "who"), backend1.name)
 	}
 }
