--- a/internal/role/balancer/balancer.go
+++ b/internal/role/balancer/balancer.go
@@ -51,7 +51,7 @@
 	// TLS returns the settings of a connection to control or an agent.
 	TLS func() *tls.Config
 	// Keys seal the envelopes.
-	Keys packet.Keys
+	Keys packet.KeyRing
 	// Session is a random number for this run's envelopes.
 	Session uint64
 	// Now is the clock.
@@ -140,7 +140,7 @@
 func openEnvelopes(o Options) (*udp.Conn, error) {
 	for _, item := range o.Inherited {
 		if conn, ok := item.Socket.(*net.UDPConn); ok && item.Kind == itemEnvelopes {
-			return udp.Inherit(conn)
+			return udp.NewConn(conn)
 		}
 	}
 	return udp.Listen(udp.Options{Addr: o.Packets, ReadBuffer: o.ReadBuffer})
--- a/internal/role/balancer/handover.go
+++ b/internal/role/balancer/handover.go
@@ -17,7 +17,7 @@
 
 // The kinds of item that a balancer hands over.
 const (
-	itemEnvelopes = "envelopes" // the envelope socket; the body is a []packet.Session
+	itemEnvelopes = "envelopes" // the envelope socket; the body is a []packet.SessionState
 	itemListener  = "listener"  // a socket on a service address; the body is a listenerItem
 	itemState     = "state"     // the services and views in force, a proto.Update
 )
@@ -39,7 +39,7 @@
 func (b *Balancer) Pause() (handover.Bundle, error) {
 	b.mu.Lock()
 	b.paused = true
-	b.setDeadlines(udp.LongAgo)
+	b.setDeadlines(udp.ExpiredDeadline)
 	b.mu.Unlock()
 	// A reader may want the lock for its last datagram.
 	b.readers.Wait()
@@ -143,7 +143,7 @@
 func inheritedSocket(item handover.Item) (listener, error) {
 	switch s := item.Socket.(type) {
 	case *net.UDPConn:
-		return udp.Inherit(s)
+		return udp.NewConn(s)
 	case *net.TCPListener:
 		return s, nil
 	default:
@@ -168,7 +168,7 @@
 
 // inheritSessions refuses what the predecessor has already received.
 func (b *Balancer) inheritSessions(item handover.Item) {
-	var sessions []packet.Session
+	var sessions []packet.SessionState
 	err := cbor.Unmarshal(item.Body, &sessions)
 	if err == nil {
 		err = b.opener.Import(sessions)
--- a/internal/role/balancer/streams.go
+++ b/internal/role/balancer/streams.go
@@ -23,7 +23,7 @@
 func (b *Balancer) listenTCP(addr netip.AddrPort) (*net.TCPListener, error) {
 	config := &net.ListenConfig{}
 	if b.options.Spray > 0 {
-		config = udp.ReusePort()
+		config = udp.ReusePortConfig()
 	}
 	l, err := config.Listen(context.Background(), "tcp4", addr.String())
 	if err != nil {
@@ -61,7 +61,7 @@
 		splice.Reset(conn)
 		return
 	}
-	splice.Both(conn, tunnel)
+	splice.CopyBidirectional(conn, tunnel)
 }
 
 func (b *Balancer) openTunnel(t target, caller netip.AddrPort) (*peer.Stream, error) {
