--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -30,7 +30,7 @@
 	first, second := f.balancer("balancer-1"), f.balancer("balancer-2")
 	waitForMembers(b, first, second, agents)
 	available := func(want int) {
-		for first.Available(service) != want || second.Available(service) != want {
+		for first.AvailableCount(service) != want || second.AvailableCount(service) != want {
 			time.Sleep(time.Millisecond)
 		}
 	}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -197,11 +197,11 @@
 func waitForMembers(t testing.TB, first, second *balancer.Balancer, want int) {
 	t.Helper()
 	for deadline := time.Now().Add(patience); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
-		if first.Available(1) == want && second.Available(1) == want {
+		if first.AvailableCount(1) == want && second.AvailableCount(1) == want {
 			return
 		}
 	}
-	t.Fatalf("balancers know %d and %d of %d backend servers that take flows", first.Available(1), second.Available(1), want)
+	t.Fatalf("balancers know %d and %d of %d backend servers that take flows", first.AvailableCount(1), second.AvailableCount(1), want)
 }
 
 func TestCatalogueOverHTTP3SurvivesTheLossOfABalancer(t *testing.T) {
@@ -340,7 +340,7 @@
 func waitForMembersDraining(t *testing.T, b *balancer.Balancer) {
 	t.Helper()
 	for deadline := time.Now().Add(patience); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
-		if b.Available(1) == 0 {
+		if b.AvailableCount(1) == 0 {
 			return
 		}
 	}
--- a/internal/node/operators_test.go
+++ b/internal/node/operators_test.go
@@ -71,15 +71,15 @@
 	propose(fleet.Command{Kind: fleet.KindApply, RequestID: "a", Document: document})
 	settle(t, floorAddr)
 	const id = 1 // of the first service of a new fleet
-	until(t, "both backend servers take new flows", func() bool { return b.Available(id) == 2 })
+	until(t, "both backend servers take new flows", func() bool { return b.AvailableCount(id) == 2 })
 
 	propose(fleet.Command{Kind: fleet.KindDrain, RequestID: "b", BackendServer: "floor-1"})
-	is.Equal(b.Available(id), 1)
+	is.Equal(b.AvailableCount(id), 1)
 	status, err := client.Status(ctx)
 	is.NoErr(err)
 	is.Equal(status.Members[0].State, "draining")
 	propose(fleet.Command{Kind: fleet.KindCancelDrain, RequestID: "c", BackendServer: "floor-1"})
-	is.Equal(b.Available(id), 2)
+	is.Equal(b.AvailableCount(id), 2)
 
 	propose(fleet.Command{Kind: fleet.KindPatch, RequestID: "d", ExpectedVersion: 1, Patch: &fleet.Patch{
 		PutExceptions: []fleet.Exception{{
@@ -87,9 +87,9 @@
 			Key: "weight", Value: "0", Reason: "its disk is being replaced",
 		}},
 	}})
-	is.Equal(b.Available(id), 1)
+	is.Equal(b.AvailableCount(id), 1)
 	propose(fleet.Command{Kind: fleet.KindRollback, RequestID: "e", ExpectedVersion: 2, RollbackVersion: 0})
-	is.Equal(b.Members(id), 0)
+	is.Equal(b.BackendServerCount(id), 0)
 	settled, err := client.Propose(ctx, fleet.Command{Kind: fleet.KindApply, RequestID: "a", Document: document})
 	is.NoErr(err)
 	is.Equal(settled.Version, uint64(1)) // the resend gets its first answer
--- a/internal/node/roles.go
+++ b/internal/node/roles.go
@@ -84,20 +84,20 @@
 		rest.Close()
 	}
 	return balancer.Start(balancer.Options{
-		Name:       o.Settings.Name,
-		Zone:       o.Settings.Zone,
-		Control:    o.Settings.Join.Control,
-		Packets:    s.Packets,
-		Spray:      o.Spray,
-		Wildcard:   s.Bind == settings.BindWildcard,
-		Inherited:  inherited,
-		MTU:        s.MTU,
-		ReadBuffer: s.ReceiveBuffer,
-		TLS:        o.clientTLS(keys.Control, keys.Agent),
-		Keys:       ring{Ring: o.Ring, now: o.Now},
-		Session:    rand.Uint64(),
-		Now:        o.Now,
-		Log:        o.Log.Named("balancer"),
+		Name:           o.Settings.Name,
+		Zone:           o.Settings.Zone,
+		Control:        o.Settings.Join.Control,
+		Packets:        s.Packets,
+		Spray:          o.Spray,
+		Wildcard:       s.Bind == settings.BindWildcard,
+		InheritedItems: inherited,
+		MTU:            s.MTU,
+		ReadBuffer:     s.ReceiveBuffer,
+		TLS:            o.clientTLS(keys.Control, keys.Agent),
+		Keys:           ring{Ring: o.Ring, now: o.Now},
+		Session:        rand.Uint64(),
+		Now:            o.Now,
+		Log:            o.Log.Named("balancer"),
 	})
 }
 
--- a/internal/role/balancer/balancer.go
+++ b/internal/role/balancer/balancer.go
@@ -46,8 +46,8 @@
 	MTU int
 	// ReadBuffer is the kernel's receive buffer of each socket in bytes.
 	ReadBuffer int
-	// Inherited is what a predecessor on the same VM has handed over.
-	Inherited handover.Bundle
+	// InheritedItems is what a predecessor on the same VM has handed over.
+	InheritedItems handover.Bundle
 	// TLS returns the settings of a connection to control or an agent.
 	TLS func() *tls.Config
 	// Keys seal the envelopes.
@@ -120,7 +120,7 @@
 		listeners: make(map[listenKey]listener),
 	}
 	b.startRequests()
-	b.inherit(o.Inherited)
+	b.inherit(o.InheritedItems)
 	b.run()
 	b.tasks.Go(func() { b.forwarder.run(ctx) })
 	b.tasks.Go(func() {
@@ -138,7 +138,7 @@
 
 // openEnvelopes returns the predecessor's envelope socket, or a new one.
 func openEnvelopes(o Options) (*udp.Conn, error) {
-	for _, item := range o.Inherited {
+	for _, item := range o.InheritedItems {
 		if conn, ok := item.Socket.(*net.UDPConn); ok && item.Kind == itemEnvelopes {
 			return udp.Inherit(conn)
 		}
@@ -299,8 +299,8 @@
 // Stats returns the packet counters.
 func (b *Balancer) Stats() *Stats { return &b.stats }
 
-// Members returns how many backend servers the view in force has.
-func (b *Balancer) Members(id view.ServiceID) int { return b.table.members(id) }
+// BackendServerCount returns how many backend servers the view in force has.
+func (b *Balancer) BackendServerCount(id view.ServiceID) int { return b.table.members(id) }
 
-// Available returns how many backend servers take new flows.
-func (b *Balancer) Available(id view.ServiceID) int { return b.table.available(id) }
+// AvailableCount returns how many backend servers take new flows.
+func (b *Balancer) AvailableCount(id view.ServiceID) int { return b.table.available(id) }
--- a/internal/role/balancer/dump.go
+++ b/internal/role/balancer/dump.go
@@ -24,7 +24,7 @@
 	Replied   uint64 `json:"replied"`
 	Unplaced  uint64 `json:"unplaced"`
 	Oversize  uint64 `json:"oversize"`
-	Refused   uint64 `json:"refused"`
+	Rejected  uint64 `json:"refused"`
 	Failed    uint64 `json:"failed"`
 	// Requests counts the requests of services in request mode.
 	Requests gateway.Counters `json:"requests"`
@@ -57,7 +57,7 @@
 		Replied:   s.Replied.Load(),
 		Unplaced:  s.Unplaced.Load(),
 		Oversize:  s.Oversize.Load(),
-		Refused:   s.Refused.Load(),
+		Rejected:  s.Rejected.Load(),
 		Failed:    s.Failed.Load(),
 	}
 }
--- a/internal/role/balancer/packets.go
+++ b/internal/role/balancer/packets.go
@@ -16,7 +16,7 @@
 	Replied   atomic.Uint64 // sent to a caller
 	Unplaced  atomic.Uint64 // no such service, or no backend server takes new flows
 	Oversize  atomic.Uint64 // would not fit the MTU in an envelope
-	Refused   atomic.Uint64 // envelopes that were forged, replayed or not for here
+	Rejected  atomic.Uint64 // envelopes that were forged, replayed or not for here
 	Failed    atomic.Uint64 // the socket did not take the packet
 }
 
@@ -79,7 +79,7 @@
 		}
 		payload, err := b.opener.Open(buf[:n], &header)
 		if err != nil || header.Kind != packet.Reply {
-			b.stats.Refused.Add(1)
+			b.stats.Rejected.Add(1)
 			continue
 		}
 		b.reply(&header, payload)
