--- a/internal/node/changes_test.go
+++ b/internal/node/changes_test.go
@@ -85,7 +85,7 @@
 		return last
 	}
 	rounds(time.Second)
-	drained := c.agents[0].Flows()
+	drained := c.agents[0].OwnedFlowCount()
 	is.True(drained > 0)
 
 	is.NoErr(first.Close())
@@ -95,7 +95,7 @@
 	third := c.balancer("balancer-3")
 	waitForMembers(t, second, third, 4)
 	rounds(2 * time.Second)
-	is.Equal(c.agents[0].Flows(), drained) // keeps its flows, takes no others
+	is.Equal(c.agents[0].OwnedFlowCount(), drained) // keeps its flows, takes no others
 	c.control.SetDrained(nil)
 	is.NoErr(second.Close())
 	is.Equal(rounds(2*time.Second), sessionCount)
@@ -184,7 +184,7 @@
 	a := f.agent("floor", echo.Addr())
 	waitForMembers(t, b, b, 1)
 	path.Forget()
-	for a.Counters().(agent.Counters).Silent == 0 {
+	for a.Counters().(agent.Counters).UnresponsiveControl == 0 {
 		time.Sleep(10 * time.Millisecond)
 	}
 	before := f.control.Counters().(control.Counters).Announcements
--- a/internal/role/agent/agent.go
+++ b/internal/role/agent/agent.go
@@ -57,9 +57,9 @@
 	ClientTLS func() *tls.Config
 	// Keys seal the envelopes.
 	Keys packet.Keys
-	// Handover is the file in which a stopping agent of a service of mode packet
+	// HandoverPath is the file in which a stopping agent of a service of mode packet
 	// leaves its flows to its successor; empty for none.
-	Handover string
+	HandoverPath string
 	// Session is a random number for this run's envelopes.
 	Session uint64
 	// Now is the clock.
--- a/internal/role/agent/announce.go
+++ b/internal/role/agent/announce.go
@@ -22,7 +22,7 @@
 			return a.announcement(sequence), true
 		},
 		Answered: a.answered,
-		Silent:   func() { a.stats.Silent.Add(1) },
+		Silent:   func() { a.stats.UnresponsiveControl.Add(1) },
 		Log:      a.options.Log,
 	})
 }
--- a/internal/role/agent/packets.go
+++ b/internal/role/agent/packets.go
@@ -16,13 +16,13 @@
 
 // Stats counts what an agent did with packets.
 type Stats struct {
-	Delivered atomic.Uint64 // sent to the backend server
-	Replied   atomic.Uint64 // sent to a balancer
-	Refused   atomic.Uint64 // envelopes that were forged, replayed or not for here
-	Failed    atomic.Uint64 // a socket did not take the packet
-	Oversize  atomic.Uint64 // a reply would not fit the MTU in an envelope
-	Relayed   atomic.Uint64 // sent on to another agent
-	Silent    atomic.Uint64 // connections to control that went silent and were replaced
+	Delivered           atomic.Uint64 // sent to the backend server
+	Replied             atomic.Uint64 // sent to a balancer
+	Rejected            atomic.Uint64 // envelopes that were forged, replayed or not for here
+	Failed              atomic.Uint64 // a socket did not take the packet
+	Oversize            atomic.Uint64 // a reply would not fit the MTU in an envelope
+	Relayed             atomic.Uint64 // sent on to another agent
+	UnresponsiveControl atomic.Uint64 // connections to control that went silent and were replaced
 
 	ControlSent  atomic.Uint64 // messages about flow ownership to other agents
 	ControlBytes atomic.Uint64 // bytes of them, envelopes included
@@ -47,7 +47,7 @@
 		}
 		payload, err := a.opener.Open(buf[:n], &header)
 		if err != nil {
-			a.stats.Refused.Add(1)
+			a.stats.Rejected.Add(1)
 			continue
 		}
 		switch header.Kind {
@@ -56,7 +56,7 @@
 		case packet.Control:
 			a.receiveOwnership(&header, payload)
 		default:
-			a.stats.Refused.Add(1)
+			a.stats.Rejected.Add(1)
 		}
 	}
 }
@@ -75,7 +75,7 @@
 	case flow.Relay:
 		a.relay(action.To, h, payload, out)
 	default:
-		a.stats.Refused.Add(1)
+		a.stats.Rejected.Add(1)
 	}
 }
 
--- a/internal/role/agent/pointers.go
+++ b/internal/role/agent/pointers.go
@@ -61,7 +61,7 @@
 func (a *Agent) receiveOwnership(h *packet.Header, payload []byte) {
 	var o ownership
 	if !a.accepts(h) || cbor.Unmarshal(payload, &o) != nil {
-		a.stats.Refused.Add(1)
+		a.stats.Rejected.Add(1)
 		return
 	}
 	switch {
--- a/internal/role/agent/succession.go
+++ b/internal/role/agent/succession.go
@@ -62,14 +62,14 @@
 // takeSuccession reads and removes the state that a predecessor has left at path.
 // It returns nil where there is none that can be used.
 func takeSuccession(o Options) *succession {
-	if o.Handover == "" {
+	if o.HandoverPath == "" {
 		return nil
 	}
-	data, err := os.ReadFile(o.Handover)
+	data, err := os.ReadFile(o.HandoverPath)
 	if os.IsNotExist(err) {
 		return nil
 	}
-	if removed := os.Remove(o.Handover); err == nil {
+	if removed := os.Remove(o.HandoverPath); err == nil {
 		err = removed // state that stays could be taken over twice
 	}
 	s := &succession{}
@@ -147,7 +147,7 @@
 // canBequeath reports whether a successor can go on as the same run: the service
 // has neither requests, whose records stay here, nor streams.
 func (a *Agent) canBequeath() bool {
-	return a.options.Handover != "" && a.packetMode.Load() && !a.requests.Busy() && a.tunnels.Load() == 0 && a.owner.flows.View() != nil
+	return a.options.HandoverPath != "" && a.packetMode.Load() && !a.requests.Busy() && a.tunnels.Load() == 0 && a.owner.flows.View() != nil
 }
 
 // bequeath stops at once and leaves the flows to a successor. Packets on their way
@@ -169,10 +169,10 @@
 	}
 	data, err := cbor.Marshal(s)
 	if err == nil {
-		err = os.WriteFile(a.options.Handover, data, successionMode)
+		err = os.WriteFile(a.options.HandoverPath, data, successionMode)
 	}
 	if err != nil {
-		_ = os.Remove(a.options.Handover) // a part of the state must not be taken over
+		_ = os.Remove(a.options.HandoverPath) // a part of the state must not be taken over
 		err = errSuccession.Wrap(err, "leave %d flows to a successor", len(s.Sockets))
 	} else {
 		a.options.Log.Info("Left the flows to a successor.", zap.Int("flows", len(s.Sockets)), zap.Int("entries", len(s.Entries)))
--- a/internal/role/agent/tunnel.go
+++ b/internal/role/agent/tunnel.go
@@ -37,7 +37,7 @@
 // connect dials the backend server, or tells why not.
 func (a *Agent) connect(ctx context.Context, open proto.TunnelOpen) (*net.TCPConn, string) {
 	if open.Incarnation != a.options.Incarnation || open.Service != view.ServiceID(a.service.Load()) {
-		a.stats.Refused.Add(1)
+		a.stats.Rejected.Add(1)
 		return nil, "the tunnel is meant for another run or service"
 	}
 	dialer := net.Dialer{Timeout: connectLimit}
