--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -67,6 +67,6 @@
 	Pause() (Bundle, error)
 	// Resume goes on after a handover that failed.
 	Resume()
-	// Leave ends the process's part: the successor has everything.
-	Leave()
+	// Release ends the process's part: the successor has everything.
+	Release()
 }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -25,8 +25,8 @@
 	}
 	return f.bundle, nil
 }
-func (f *fake) Resume() { f.calls = append(f.calls, "resume") }
-func (f *fake) Leave()  { f.calls = append(f.calls, "leave") }
+func (f *fake) Resume()  { f.calls = append(f.calls, "resume") }
+func (f *fake) Release() { f.calls = append(f.calls, "leave") }
 
 func listenUDP(t *testing.T) *net.UDPConn {
 	t.Helper()
@@ -54,7 +54,7 @@
 	s, err := Listen(path, f, zap.NewNop())
 	is.NoErr(err)
 
-	bundle, err := Take(path)
+	bundle, err := Receive(path)
 	is.NoErr(err)
 	defer bundle.Close()
 	is.NoErr(s.Close())
@@ -109,7 +109,7 @@
 			is.NoErr(conn.Close())
 
 			// The next successor finds a predecessor that is whole.
-			_, err = Take(path)
+			_, err = Receive(path)
 			is.NoErr(err)
 			is.NoErr(s.Close())
 			is.Equal(c.fake.calls, []string{"pause", "resume", "pause", "leave"})
@@ -120,14 +120,14 @@
 func TestNoPredecessorIsNoError(t *testing.T) {
 	is := is.New(t)
 	path := filepath.Join(t.TempDir(), "handover")
-	bundle, err := Take(path)
+	bundle, err := Receive(path)
 	is.NoErr(err)
 	is.Equal(len(bundle), 0)
 
 	s, err := Listen(path, &fake{}, zap.NewNop())
 	is.NoErr(err)
 	is.NoErr(s.Close())
-	bundle, err = Take(path)
+	bundle, err = Receive(path)
 	is.NoErr(err)
 	is.Equal(len(bundle), 0)
 }
--- a/internal/handover/server.go
+++ b/internal/handover/server.go
@@ -84,7 +84,7 @@
 		s.predecessor.Resume()
 		return err
 	}
-	s.predecessor.Leave()
+	s.predecessor.Release()
 	// The successor may have ended meanwhile, which changes nothing here: it
 	// has confirmed, so its own start decides.
 	_ = send(conn, message{Confirmed: true}, nil)
--- a/internal/handover/take.go
+++ b/internal/handover/take.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// Take asks the process that listens at path to hand over. It returns nil where
+// Receive asks the process that listens at path to hand over. It returns nil where
 // there is no such process. An error means that the predecessor, if it lives,
 // goes on.
-func Take(path string) (Bundle, error) {
+func Receive(path string) (Bundle, error) {
 	conn, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: path, Net: "unixpacket"})
 	if errors.Is(err, fs.ErrNotExist) || errors.Is(err, syscall.ECONNREFUSED) {
 		return nil, nil
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -384,7 +384,7 @@
 	server, err := handover.Listen(path, first, zap.NewNop())
 	is.NoErr(err)
 	defer server.Close()
-	bundle, err := handover.Take(path)
+	bundle, err := handover.Receive(path)
 	is.NoErr(err)
 	second := f.successor("balancer-1", bundle)
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
--- a/internal/node/succession.go
+++ b/internal/node/succession.go
@@ -70,15 +70,15 @@
 	s.paused = 0
 }
 
-// Leave implements handover.Predecessor.
-func (s *Succession) Leave() {
+// Release implements handover.Predecessor.
+func (s *Succession) Release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, f := range s.release {
 		f()
 	}
 	for _, r := range s.roles {
-		r.Leave()
+		r.Release()
 	}
 	close(s.left)
 }
--- a/internal/role/balancer/handover.go
+++ b/internal/role/balancer/handover.go
@@ -90,9 +90,9 @@
 	}
 }
 
-// Leave implements handover.Predecessor. The successor holds the sockets; the
+// Release implements handover.Predecessor. The successor holds the sockets; the
 // connections that are open here go on until they end.
-func (b *Balancer) Leave() {
+func (b *Balancer) Release() {
 	b.cancel()
 	b.closeListeners(proto.ModePacket, proto.ModeStream, proto.ModeRequest)
 	b.closeListeners(proto.ModeRequest)
--- a/internal/run/run.go
+++ b/internal/run/run.go
@@ -129,7 +129,7 @@
 	if o.Settings.Handover == "" || !o.Settings.Has(settings.RoleBalancer) {
 		return nil, nil
 	}
-	bundle, err := handover.Take(o.Settings.Handover)
+	bundle, err := handover.Receive(o.Settings.Handover)
 	if err == nil && len(bundle) > 0 {
 		o.Log.Named("process").Info("Took over from the predecessor.", zap.Int("items", len(bundle)))
 	}
