--- a/internal/node/succession.go
+++ b/internal/node/succession.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// onLeave adds a function that Leave calls first.
+// onLeave adds a function that Release calls first.
 func (s *Succession) onLeave(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/role/balancer/balancer.go
+++ b/internal/role/balancer/balancer.go
@@ -1,6 +1,6 @@
-// Package balancer runs the balancer role: it takes callers' datagrams and
-// connections on the service addresses and forwards them to agents. It keeps
-// no state that a flow depends on.
+// Package balancer implements the balancer role: it receives callers' datagrams
+// and connections on the service addresses and forwards them to agents. It
+// stores no per-flow state, so packet flows survive the loss of a balancer.
 package balancer
 
 import (
@@ -32,65 +32,65 @@
 	Name string
 	// Zone is the availability zone.
 	Zone string
-	// Control are the addresses of control processes.
+	// Control lists the addresses of the control processes.
 	Control []netip.AddrPort
 	// Packets is the UDP address for envelopes to and from agents.
 	Packets netip.AddrPort
 	// Spray is the number of balancers on this host that share the service
-	// addresses packet by packet; 0 where the fabric does that.
+	// addresses packet by packet; 0 if the network fabric does that.
 	Spray int
-	// Wildcard binds the unspecified address of each port in place of each
-	// service address of its own.
+	// Wildcard binds the unspecified address of each port instead of each
+	// service address.
 	Wildcard bool
 	// MTU is the largest IP packet in bytes between balancers and agents.
 	MTU int
-	// ReadBuffer is the kernel's receive buffer of each socket in bytes.
+	// ReadBuffer is the size of each socket's kernel receive buffer in bytes.
 	ReadBuffer int
-	// InheritedItems is what a predecessor on the same VM has handed over.
+	// InheritedItems are the handover items of a predecessor on the same VM.
 	InheritedItems handover.Bundle
-	// TLS returns the settings of a connection to control or an agent.
+	// TLS returns the TLS configuration of a connection to control or an agent.
 	TLS func() *tls.Config
 	// Keys seal the envelopes.
 	Keys packet.Keys
-	// Session is a random number for this run's envelopes.
+	// Session is a random number that identifies this process's envelopes.
 	Session uint64
-	// Now is the clock.
+	// Now returns the current time.
 	Now func() time.Time
 	Log *zap.Logger
 }
 
-// Balancer is one running balancer.
+// Balancer is a running balancer.
 type Balancer struct {
-	options   Options
-	table     table
-	forwarder forwarder
-	stats     Stats
-	sealer    *packet.Sealer
-	opener    *packet.Opener
-	envelopes *udp.Conn
-	pool      *peer.Pool
-	gateway   *gateway.Gateway
-	callers   *connQueue
-	server    *http.Server
-	cancel    context.CancelFunc
-	tasks     sync.WaitGroup
+	options      Options
+	table        table
+	forwarder    forwarder
+	stats        Stats
+	sealer       *packet.Sealer
+	opener       *packet.Opener
+	envelopes    *udp.Conn
+	pool         *peer.Pool
+	gateway      *gateway.Gateway
+	requestConns *connQueue
+	server       *http.Server
+	cancel       context.CancelFunc
+	tasks        sync.WaitGroup
 
-	// readers counts the goroutines that read datagrams or accept connections.
+	// readers tracks the goroutines that read datagrams or accept connections.
 	readers sync.WaitGroup
-	// streams counts the connections that are open.
-	streams sync.WaitGroup
-	// inherited are the services of a predecessor until control's first update;
-	// only the subscription's goroutine uses it after the start.
-	inherited []proto.Service
+	// openStreams tracks the open caller connections of services in stream mode.
+	openStreams sync.WaitGroup
+	// inheritedServices are the predecessor's services until control's first
+	// update. After Start only the subscription's goroutine accesses them.
+	inheritedServices []proto.Service
 
 	mu        sync.Mutex
-	listeners map[listenKey]listener
+	listeners map[listenerKey]listener
 	stopping  bool
 	paused    bool
 }
 
-// listenKey names a listener of a service address.
-type listenKey struct {
+// listenerKey identifies the listener of a service address.
+type listenerKey struct {
 	mode proto.Mode
 	addr netip.AddrPort
 }
@@ -98,10 +98,11 @@
 // listener is a socket on a service address: a *udp.Conn or a *net.TCPListener.
 type listener interface {
 	handover.Socket
-	deadliner
+	deadlineSetter
 }
 
-// Start opens the envelope socket and follows control until Close.
+// Start opens the envelope socket, starts the readers and subscribes to control
+// until Close.
 func Start(o Options) (*Balancer, error) {
 	envelopes, err := openEnvelopes(o)
 	if err != nil {
@@ -117,12 +118,12 @@
 		envelopes: envelopes,
 		pool:      peer.NewPool(o.TLS),
 		cancel:    cancel,
-		listeners: make(map[listenKey]listener),
+		listeners: make(map[listenerKey]listener),
 	}
 	b.startRequests()
-	b.inherit(o.InheritedItems)
-	b.run()
-	b.tasks.Go(func() { b.forwarder.run(ctx) })
+	b.inheritItems(o.InheritedItems)
+	b.startReaders()
+	b.tasks.Go(func() { b.forwarder.expireViews(ctx) })
 	b.tasks.Go(func() {
 		subscribe.Run(ctx, subscribe.Options{
 			Name:    o.Name,
@@ -136,7 +137,7 @@
 	return b, nil
 }
 
-// openEnvelopes returns the predecessor's envelope socket, or a new one.
+// openEnvelopes returns the predecessor's envelope socket, or opens a new one.
 func openEnvelopes(o Options) (*udp.Conn, error) {
 	for _, item := range o.InheritedItems {
 		if conn, ok := item.Socket.(*net.UDPConn); ok && item.Kind == itemEnvelopes {
@@ -146,17 +147,17 @@
 	return udp.Listen(udp.Options{Addr: o.Packets, ReadBuffer: o.ReadBuffer})
 }
 
-// Stop takes no new connections, waits until those that are open have ended or
-// ctx ends, and closes every socket.
+// Stop accepts no new connections, waits until the open ones have ended or ctx
+// is done, and closes every socket.
 func (b *Balancer) Stop(ctx context.Context) error {
 	b.closeListeners(proto.ModeStream, proto.ModeRequest)
-	_ = b.server.Shutdown(ctx) // what is left is cut off by Close
-	wait(ctx, &b.streams)
+	_ = b.server.Shutdown(ctx) // Close closes the remaining connections
+	waitUntilDone(ctx, &b.openStreams)
 	return b.Close()
 }
 
-// wait waits for a group until ctx ends.
-func wait(ctx context.Context, group *sync.WaitGroup) {
+// waitUntilDone waits for a group, at most until ctx is done.
+func waitUntilDone(ctx context.Context, group *sync.WaitGroup) {
 	done := make(chan struct{})
 	go func() {
 		group.Wait()
@@ -168,7 +169,8 @@
 	}
 }
 
-// closeListeners closes the listeners of some modes for good.
+// closeListeners closes the listeners of the given modes and marks the balancer
+// as stopping, so that no listener is opened any more.
 func (b *Balancer) closeListeners(modes ...proto.Mode) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -181,7 +183,7 @@
 	}
 }
 
-// Close closes every socket. Flows go on through other balancers.
+// Close closes every socket. Packet flows continue through other balancers.
 func (b *Balancer) Close() error {
 	b.cancel()
 	b.closeListeners(proto.ModeStream, proto.ModeRequest, proto.ModePacket)
@@ -197,36 +199,37 @@
 	return err
 }
 
-// adopt puts an update in force and opens what it asks for.
+// adopt activates an update and, if services have changed, opens and closes
+// listeners to match.
 func (b *Balancer) adopt(u proto.Update) {
-	b.retire(&u)
-	if b.putInForce(u) {
-		b.reconcile(b.table.serving())
+	b.removeStaleInherited(&u)
+	if b.activate(u) {
+		b.reconcile(b.table.activeServices())
 	}
 }
 
-// putInForce reports whether services have changed. Most updates change views
-// alone, so only the others look at all services and views.
-func (b *Balancer) putInForce(u proto.Update) bool {
+// activate applies an update and reports whether services have changed. Most
+// updates change only views; those skip the pass over all services and views.
+func (b *Balancer) activate(u proto.Update) bool {
 	b.table.adopt(u)
 	if len(u.Services) == 0 && len(u.Removed) == 0 {
 		b.forwarder.setViews(u.Views)
 		b.setRequestViews(u.Views)
 		return false
 	}
-	services := b.table.serving()
+	services := b.table.activeServices()
 	b.forwarder.adopt(services, u.Views)
 	b.setRequestServices(services)
-	b.setRequestViews(b.table.snapshot())
+	b.setRequestViews(b.table.activeViews())
 	return true
 }
 
 // reconcile opens and closes listeners so that they match the services.
 func (b *Balancer) reconcile(services []proto.Service) {
-	want := make(map[listenKey]bool)
+	want := make(map[listenerKey]bool)
 	for _, s := range services {
 		for _, addr := range s.Addresses {
-			want[b.listenKey(s.Mode, addr)] = true
+			want[b.listenerKeyFor(s.Mode, addr)] = true
 		}
 	}
 	b.mu.Lock()
@@ -246,17 +249,17 @@
 		}
 		l, err := b.listen(key)
 		if err != nil {
-			b.options.Log.Error("Cannot serve an address.", zap.Stringer("address", key.addr), zap.Error(err))
+			b.options.Log.Error("Failed to listen on a service address.", zap.Stringer("address", key.addr), zap.Error(err))
 			continue
 		}
 		b.listeners[key] = l
-		b.serve(key, l)
+		b.startReader(key, l)
 	}
 }
 
-// serve reads from a listener unless the balancer is paused. The caller holds
-// the lock.
-func (b *Balancer) serve(key listenKey, l listener) {
+// startReader starts the goroutine that reads from a listener, unless the
+// balancer is paused. The caller holds b.mu.
+func (b *Balancer) startReader(key listenerKey, l listener) {
 	if b.paused {
 		return
 	}
@@ -270,37 +273,38 @@
 		}
 		b.readers.Go(func() { accept(l) })
 	default:
-		b.options.Log.Error("Cannot serve an address.", zap.Stringer("address", key.addr))
+		b.options.Log.Error("Cannot read from a listener of unknown type; its address is not served.", zap.Stringer("address", key.addr))
 	}
 }
 
-// listenKey names the listener that serves a service address.
-func (b *Balancer) listenKey(mode proto.Mode, addr netip.AddrPort) listenKey {
+// listenerKeyFor returns the key of the listener that serves a service address.
+func (b *Balancer) listenerKeyFor(mode proto.Mode, addr netip.AddrPort) listenerKey {
 	if b.options.Wildcard {
 		addr = netip.AddrPortFrom(netip.IPv4Unspecified(), addr.Port())
 	}
-	return listenKey{mode: mode, addr: addr}
+	return listenerKey{mode: mode, addr: addr}
 }
 
-func (b *Balancer) listen(key listenKey) (listener, error) {
+func (b *Balancer) listen(key listenerKey) (listener, error) {
 	if key.mode == proto.ModePacket {
 		return b.listenPacket(key.addr)
 	}
 	return b.listenTCP(key.addr)
 }
 
-// target is the agent that a flow goes to.
+// target is the backend server that a connection is placed on.
 type target struct {
-	service view.ServiceID
-	view    view.Version
-	member  *view.BackendServer
+	service       view.ServiceID
+	version       view.Version
+	backendServer *view.BackendServer
 }
 
 // Stats returns the packet counters.
 func (b *Balancer) Stats() *Stats { return &b.stats }
 
-// BackendServerCount returns how many backend servers the view in force has.
-func (b *Balancer) BackendServerCount(id view.ServiceID) int { return b.table.members(id) }
+// BackendServerCount returns the number of backend servers in the service's
+// active view.
+func (b *Balancer) BackendServerCount(id view.ServiceID) int { return b.table.backendServerCount(id) }
 
-// AvailableCount returns how many backend servers take new flows.
-func (b *Balancer) AvailableCount(id view.ServiceID) int { return b.table.available(id) }
+// AvailableCount returns the number of backend servers that accept new flows.
+func (b *Balancer) AvailableCount(id view.ServiceID) int { return b.table.availableCount(id) }
--- a/internal/role/balancer/bench_test.go
+++ b/internal/role/balancer/bench_test.go
@@ -18,8 +18,8 @@
 	"fulmarmount.org/fulmarmount/internal/udp"
 )
 
-// burst is the number of datagrams that wait in the socket at once.
-const burst = 64
+// burstSize is the number of datagrams queued in the socket at once.
+const burstSize = 64
 
 type benchKeys struct{ secret [keys.SecretSize]byte }
 
@@ -35,9 +35,9 @@
 	return conn
 }
 
-// newBench returns a balancer that knows one service of 7 backend servers, all
-// of which share one sink.
-func newBench(b testing.TB, service, sink *udp.Conn) *Balancer {
+// newBenchBalancer returns a balancer with one service of 7 backend servers,
+// which all share the sink's address.
+func newBenchBalancer(b testing.TB, service, sink *udp.Conn) *Balancer {
 	b.Helper()
 	var members []view.BackendServer
 	for i := range 7 {
@@ -53,19 +53,19 @@
 		sealer:    packet.NewSealer(&benchKeys{}, 1),
 		opener:    packet.NewOpener(&benchKeys{}, time.Now),
 		envelopes: listenLoopback(b),
-		listeners: make(map[listenKey]listener),
+		listeners: make(map[listenerKey]listener),
 	}
 	update := proto.Update{
 		Services: []proto.Service{{ID: 1, Name: "bench", Mode: proto.ModePacket, Addresses: []netip.AddrPort{service.Addr()}}},
 		Views:    []*view.View{view.New(1, view.Version{Epoch: 1, Number: 1}, members)},
 	}
 	lb.table.adopt(update)
-	lb.forwarder.adopt(lb.table.serving(), update.Views)
+	lb.forwarder.adopt(lb.table.activeServices(), update.Views)
 	return lb
 }
 
-// BenchmarkForward measures one datagram read from a caller and sent to an
-// agent, beside a bare relay that only reads and sends.
+// BenchmarkForward measures a datagram read from a caller and sent to an agent;
+// the baseline is a relay that only reads and sends.
 func BenchmarkForward(b *testing.B) {
 	for _, size := range []int{64, 1250} {
 		b.Run(fmt.Sprintf("relay/%d", size), func(b *testing.B) {
@@ -81,7 +81,7 @@
 		})
 		b.Run(fmt.Sprintf("balancer/%d", size), func(b *testing.B) {
 			in, sink := listenLoopback(b), listenLoopback(b)
-			lb := newBench(b, in, sink)
+			lb := newBenchBalancer(b, in, sink)
 			buf, out := make([]byte, 1500), make([]byte, 0, 1500)
 			benchBursts(b, in, size, func() {
 				n, from, to, err := in.Read(buf)
@@ -91,13 +91,13 @@
 				lb.forward(flow.Tuple{Caller: from, Service: to}, buf[:n], out)
 			})
 			if lb.stats.Forwarded.Load() == 0 {
-				b.Fatal("nothing was forwarded")
+				b.Fatal("balancer forwarded no datagram")
 			}
 		})
 	}
 }
 
-// benchBursts times step for each of the datagrams of bursts sent to in.
+// benchBursts sends bursts of datagrams to in and times one step per datagram.
 func benchBursts(b *testing.B, in *udp.Conn, size int, step func()) {
 	caller := listenLoopback(b)
 	payload := make([]byte, size)
@@ -105,7 +105,7 @@
 	b.ResetTimer()
 	for sent := 0; sent < b.N; {
 		b.StopTimer()
-		count := min(burst, b.N-sent)
+		count := min(burstSize, b.N-sent)
 		for range count {
 			if err := caller.Write(payload, in.Addr()); err != nil {
 				b.Fatal(err)
@@ -120,15 +120,15 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "packets/s")
 }
 
-// newFleet returns a balancer that knows a number of services with 7 backend
-// servers each, and a function that changes the view of one of them.
-func newFleet(b testing.TB, services int) (change func()) {
+// newViewChange starts from a balancer with a number of services of 7 backend
+// servers each, and returns a function that changes the view of one service.
+func newViewChange(b testing.TB, services int) (change func()) {
 	b.Helper()
-	lb := newBench(b, listenLoopback(b), listenLoopback(b))
+	lb := newBenchBalancer(b, listenLoopback(b), listenLoopback(b))
 	lb.options.Now = time.Now
 	lb.gateway = lb.newGateway()
 	b.Cleanup(lb.gateway.Close)
-	lb.paused = true // opens no service sockets
+	lb.paused = true // so that adopt opens no listeners
 	members := make([]view.BackendServer, 7)
 	for i := range members {
 		members[i] = view.BackendServer{ID: fmt.Sprintf("host-%d", i), State: view.Ready, Weight: view.FullWeight}
@@ -151,18 +151,18 @@
 	}
 }
 
-// TestViewChangeCostsTheSameInALargerFleet holds the work of a change of one
-// view independent of the other services.
-func TestViewChangeCostsTheSameInALargerFleet(t *testing.T) {
+// TestViewChangeCostIsIndependentOfFleetSize guards against a view change that
+// iterates over all services: it must allocate the same for 2 and 2000 services.
+func TestViewChangeCostIsIndependentOfFleetSize(t *testing.T) {
 	is := is.New(t)
 	const changes = 100
-	is.Equal(testing.AllocsPerRun(changes, newFleet(t, 2000)), testing.AllocsPerRun(changes, newFleet(t, 2)))
+	is.Equal(testing.AllocsPerRun(changes, newViewChange(t, 2000)), testing.AllocsPerRun(changes, newViewChange(t, 2)))
 }
 
-// BenchmarkAdopt measures the adoption of one changed view by a balancer that
-// knows the services of a whole fleet.
+// BenchmarkAdopt measures the adoption of one changed view by a balancer with
+// 19,000 services.
 func BenchmarkAdopt(b *testing.B) {
-	change := newFleet(b, 19_000)
+	change := newViewChange(b, 19_000)
 	b.ReportAllocs()
 	for b.Loop() {
 		change()
--- a/internal/role/balancer/dump.go
+++ b/internal/role/balancer/dump.go
@@ -7,18 +7,18 @@
 	"fulmarmount.org/fulmarmount/internal/gateway"
 )
 
-// Dump is the state of a balancer.
+// Dump is the state of a balancer for the admin interface.
 type Dump struct {
 	Envelopes netip.AddrPort   `json:"envelopes"`
 	Listeners []netip.AddrPort `json:"listeners"`
 	Views     []*view.View     `json:"views"`
-	// Dropped are the datagrams not placed, by reason.
+	// Dropped counts the datagrams that could not be placed, by reason.
 	Dropped map[string]uint64 `json:"dropped"`
 
 	Counters Counters `json:"counters"`
 }
 
-// Counters are the values of Stats at one time.
+// Counters is a snapshot of Stats.
 type Counters struct {
 	Forwarded uint64 `json:"forwarded"`
 	Replied   uint64 `json:"replied"`
@@ -30,7 +30,7 @@
 	Requests gateway.Counters `json:"requests"`
 }
 
-// Dump returns the balancer's state.
+// Dump returns the balancer's state, a Dump.
 func (b *Balancer) Dump() any {
 	d := Dump{Envelopes: b.envelopes.Addr(), Counters: b.counters(), Dropped: b.forwarder.Drops().ByName()}
 	b.mu.Lock()
@@ -38,11 +38,11 @@
 		d.Listeners = append(d.Listeners, key.addr)
 	}
 	b.mu.Unlock()
-	d.Views = b.table.snapshot()
+	d.Views = b.table.activeViews()
 	return d
 }
 
-// Counters returns the packet counters.
+// Counters returns the packet and request counters, a Counters.
 func (b *Balancer) Counters() any { return b.counters() }
 
 func (b *Balancer) counters() Counters {
--- a/internal/role/balancer/forwarder.go
+++ b/internal/role/balancer/forwarder.go
@@ -11,31 +11,31 @@
 )
 
 const (
-	// historyWindow is how long after a change of a view the placements of
-	// earlier ones are named to agents.
+	// historyWindow is how long after a view change forwarded packets also name
+	// the agents that earlier views placed the flow on.
 	historyWindow = 30 * time.Second
-	// historyInterval is how often ended windows are looked for.
-	historyInterval = time.Second
+	// expiryInterval is the interval at which earlier views are expired.
+	expiryInterval = time.Second
 )
 
-// forwarder decides about datagrams. It keeps the decisions' clock and numbers
-// the sets of service addresses in the order of their adoption.
+// forwarder places datagrams on agents. It supplies the flow.Balancer with a
+// monotonic clock and with a version for each set of service addresses.
 type forwarder struct {
 	*flow.Balancer
-	now      func() time.Time
-	started  time.Time
-	bindings view.Version
-	ids      map[view.ServiceID]bool // of the services in force
+	now             func() time.Time
+	started         time.Time
+	bindingsVersion view.Version
+	activeServices  map[view.ServiceID]bool
 }
 
 func newForwarder(now func() time.Time) forwarder {
 	return forwarder{Balancer: flow.NewBalancer(historyWindow), now: now, started: now()}
 }
 
-// adopt puts the addresses of all services and new views in force. Only the
+// adopt activates the addresses of all services, and new views. Only the
 // subscription's goroutine calls it.
 func (f *forwarder) adopt(services []proto.Service, views []*view.View) {
-	f.bindings.Number++
+	f.bindingsVersion.Number++
 	var bindings []flow.Binding
 	ids := make(map[view.ServiceID]bool, len(services))
 	for _, s := range services {
@@ -44,20 +44,21 @@
 			bindings = append(bindings, flow.Binding{Address: addr, Service: s.ID})
 		}
 	}
-	f.SetBindings(f.bindings, bindings)
+	f.SetBindings(f.bindingsVersion, bindings)
 	f.setViews(views)
-	f.RetainServices(func(id view.ServiceID) bool { return ids[id] || !f.ids[id] })
-	f.ids = ids
+	f.RetainServices(func(id view.ServiceID) bool { return ids[id] || !f.activeServices[id] })
+	f.activeServices = ids
 }
 
-// setViews puts new views in force.
+// setViews activates new views.
 func (f *forwarder) setViews(views []*view.View) {
 	for _, v := range views {
 		f.SetView(f.now().Sub(f.started), v)
 	}
 }
 
-// run ends the windows of earlier views until ctx ends.
-func (f *forwarder) run(ctx context.Context) {
-	pace.Every(ctx, historyInterval, func() { f.ExpireEarlierViews(f.now().Sub(f.started)) })
+// expireViews drops earlier views whose history window has ended, until ctx is
+// done.
+func (f *forwarder) expireViews(ctx context.Context) {
+	pace.Every(ctx, expiryInterval, func() { f.ExpireEarlierViews(f.now().Sub(f.started)) })
 }
--- a/internal/role/balancer/handover.go
+++ b/internal/role/balancer/handover.go
@@ -15,38 +15,39 @@
 	"fulmarmount.org/fulmarmount/internal/udp"
 )
 
-// The kinds of item that a balancer hands over.
+// The kinds of a balancer's handover items.
 const (
 	itemEnvelopes = "envelopes" // the envelope socket; the body is a []packet.Session
 	itemListener  = "listener"  // a socket on a service address; the body is a listenerItem
-	itemState     = "state"     // the services and views in force, a proto.Update
+	itemState     = "state"     // the active services and views; the body is a proto.Update
 )
 
-// HandoverRole names the balancer's items.
+// HandoverRole is the Role of a balancer's handover items.
 const HandoverRole = "balancer"
 
-// listenerItem tells what a listener serves.
+// listenerItem describes an inherited listener.
 type listenerItem struct {
 	Mode proto.Mode     `cbor:"1,keyasint"`
 	Addr netip.AddrPort `cbor:"2,keyasint"`
 }
 
-// deadliner is a socket whose blocked reads or accepts can be ended.
-type deadliner interface{ SetDeadline(t time.Time) error }
+// deadlineSetter is a socket whose blocked reads or accepts a deadline in the
+// past interrupts.
+type deadlineSetter interface{ SetDeadline(t time.Time) error }
 
-// Pause implements handover.Predecessor. Datagrams and connections wait in the
-// kernel's queues; connections that are open go on.
+// Pause implements handover.Predecessor. New datagrams and connections queue in
+// the kernel; open connections continue.
 func (b *Balancer) Pause() (handover.Bundle, error) {
 	b.mu.Lock()
 	b.paused = true
 	b.setDeadlines(udp.LongAgo)
 	b.mu.Unlock()
-	// A reader may want the lock for its last datagram.
+	// The lock is released first, as a reader may need it for its last datagram.
 	b.readers.Wait()
 
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	state, err := cbor.Marshal(proto.Update{Services: b.table.serving(), Views: b.table.snapshot()})
+	state, err := cbor.Marshal(proto.Update{Services: b.table.activeServices(), Views: b.table.activeViews()})
 	if err != nil {
 		return nil, handover.Failed.Wrap(err, "encode the state of balancer %q", b.options.Name)
 	}
@@ -55,53 +56,53 @@
 		return nil, handover.Failed.Wrap(err, "encode the envelope sessions of balancer %q", b.options.Name)
 	}
 	bundle := handover.Bundle{
-		b.item(itemState, state, nil),
-		b.item(itemEnvelopes, sessions, b.envelopes),
+		b.newItem(itemState, state, nil),
+		b.newItem(itemEnvelopes, sessions, b.envelopes),
 	}
 	for key, l := range b.listeners {
 		body, err := cbor.Marshal(listenerItem{Mode: key.mode, Addr: key.addr})
 		if err != nil {
 			return nil, handover.Failed.Wrap(err, "encode listener %s", key.addr)
 		}
-		bundle = append(bundle, b.item(itemListener, body, l))
+		bundle = append(bundle, b.newItem(itemListener, body, l))
 	}
 	return bundle, nil
 }
 
-func (b *Balancer) item(kind string, body []byte, s handover.Socket) handover.Item {
+func (b *Balancer) newItem(kind string, body []byte, s handover.Socket) handover.Item {
 	return handover.Item{Role: HandoverRole, Name: b.options.Name, Kind: kind, Body: body, Socket: s}
 }
 
 // Resume implements handover.Predecessor.
 func (b *Balancer) Resume() {
-	b.run()
-	b.reconcile(b.table.serving())
+	b.startReaders()
+	b.reconcile(b.table.activeServices())
 }
 
-// run starts to read from every socket.
-func (b *Balancer) run() {
+// startReaders ends a pause and starts to read from every socket.
+func (b *Balancer) startReaders() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.paused = false
 	b.setDeadlines(time.Time{})
 	b.readers.Go(b.readEnvelopes)
 	for key, l := range b.listeners {
-		b.serve(key, l)
+		b.startReader(key, l)
 	}
 }
 
-// Release implements handover.Predecessor. The successor holds the sockets; the
-// connections that are open here go on until they end.
+// Release implements handover.Predecessor. The successor holds descriptors of
+// the same sockets; connections open in this process continue until they end.
 func (b *Balancer) Release() {
 	b.cancel()
 	b.closeListeners(proto.ModePacket, proto.ModeStream, proto.ModeRequest)
 	b.closeListeners(proto.ModeRequest)
-	b.streams.Go(func() { _ = b.server.Shutdown(context.Background()) })
+	b.openStreams.Go(func() { _ = b.server.Shutdown(context.Background()) })
 	_ = b.envelopes.Close()
 }
 
 // setDeadlines sets the deadline of every socket that is read. The caller holds
-// the lock.
+// b.mu.
 func (b *Balancer) setDeadlines(t time.Time) {
 	_ = b.envelopes.SetDeadline(t)
 	for _, l := range b.listeners {
@@ -109,8 +110,8 @@
 	}
 }
 
-// inherit takes the sockets and the state of a predecessor.
-func (b *Balancer) inherit(bundle handover.Bundle) {
+// inheritItems adopts the sockets and the state of a predecessor.
+func (b *Balancer) inheritItems(bundle handover.Bundle) {
 	for _, item := range bundle {
 		switch item.Kind {
 		case itemListener:
@@ -120,7 +121,7 @@
 		case itemEnvelopes:
 			b.inheritSessions(item)
 		default:
-			b.options.Log.Warn("Passed over what the predecessor handed over.", zap.String("kind", item.Kind))
+			b.options.Log.Warn("Ignored a handover item of unknown kind and closed its socket.", zap.String("kind", item.Kind))
 			handover.Bundle{item}.Close()
 		}
 	}
@@ -133,13 +134,13 @@
 		err = cbor.Unmarshal(item.Body, &header)
 	}
 	if err != nil {
-		b.options.Log.Error("Cannot take over a listener.", zap.Error(err))
+		b.options.Log.Error("Failed to inherit a listener from the predecessor.", zap.Error(err))
 		return
 	}
-	b.listeners[listenKey{mode: header.Mode, addr: header.Addr}] = l
+	b.listeners[listenerKey{mode: header.Mode, addr: header.Addr}] = l
 }
 
-// inheritedSocket makes a listener of an item's socket.
+// inheritedSocket converts an item's socket to a listener.
 func inheritedSocket(item handover.Item) (listener, error) {
 	switch s := item.Socket.(type) {
 	case *net.UDPConn:
@@ -147,26 +148,27 @@
 	case *net.TCPListener:
 		return s, nil
 	default:
-		return nil, handover.Failed.New("item %q of balancer %q has no socket of a known type", item.Kind, item.Name)
+		return nil, handover.Failed.New("socket of handover item %q of balancer %q is neither a UDP socket nor a TCP listener", item.Kind, item.Name)
 	}
 }
 
-// inheritState puts the predecessor's state in force until control's own
-// arrives.
+// inheritState activates the predecessor's services and views until control's
+// first update arrives.
 func (b *Balancer) inheritState(item handover.Item) {
 	var u proto.Update
 	if err := cbor.Unmarshal(item.Body, &u); err != nil {
-		b.options.Log.Error("Cannot take over the state.", zap.Error(err))
+		b.options.Log.Error("Failed to restore the predecessor's services and views; nothing is served until control's first update.", zap.Error(err))
 		return
 	}
 	for _, v := range u.Views {
 		v.Prepare()
 	}
-	b.putInForce(u)
-	b.inherited = u.Services
+	b.activate(u)
+	b.inheritedServices = u.Services
 }
 
-// inheritSessions refuses what the predecessor has already received.
+// inheritSessions imports the predecessor's replay protection, so that envelopes
+// which it has already received are rejected.
 func (b *Balancer) inheritSessions(item handover.Item) {
 	var sessions []packet.Session
 	err := cbor.Unmarshal(item.Body, &sessions)
@@ -174,21 +176,21 @@
 		err = b.opener.Import(sessions)
 	}
 	if err != nil {
-		b.options.Log.Error("Cannot take over the envelope sessions.", zap.Error(err))
+		b.options.Log.Error("Failed to import the predecessor's envelope sessions; envelopes that it received may be accepted again.", zap.Error(err))
 	}
 }
 
-// retire adds the inherited services that control no longer knows to those
-// that the first update removes.
-func (b *Balancer) retire(u *proto.Update) {
-	known := make(map[string]bool, len(u.Services))
+// removeStaleInherited extends the removals of control's first update by the
+// inherited services that the update does not contain.
+func (b *Balancer) removeStaleInherited(u *proto.Update) {
+	current := make(map[string]bool, len(u.Services))
 	for _, s := range u.Services {
-		known[s.Name] = true
+		current[s.Name] = true
 	}
-	for _, s := range b.inherited {
-		if !known[s.Name] {
+	for _, s := range b.inheritedServices {
+		if !current[s.Name] {
 			u.Removed = append(u.Removed, s.Name)
 		}
 	}
-	b.inherited = nil
+	b.inheritedServices = nil
 }
--- a/internal/role/balancer/packets.go
+++ b/internal/role/balancer/packets.go
@@ -10,14 +10,14 @@
 	"fulmarmount.org/fulmarmount/internal/udp"
 )
 
-// Stats counts what a balancer did with packets.
+// Stats are the packet counters of a balancer.
 type Stats struct {
 	Forwarded atomic.Uint64 // sent to an agent
 	Replied   atomic.Uint64 // sent to a caller
-	Unplaced  atomic.Uint64 // no such service, or no backend server takes new flows
-	Oversize  atomic.Uint64 // would not fit the MTU in an envelope
-	Rejected  atomic.Uint64 // envelopes that were forged, replayed or not for here
-	Failed    atomic.Uint64 // the socket did not take the packet
+	Unplaced  atomic.Uint64 // no service at the address, or no backend server accepts new flows
+	Oversize  atomic.Uint64 // longer than an envelope of the MTU can carry
+	Rejected  atomic.Uint64 // envelopes that were forged, replayed or of an unexpected kind
+	Failed    atomic.Uint64 // sealing, sending or opening a tunnel failed
 }
 
 // listenPacket opens the socket for datagrams on one service address.
@@ -32,7 +32,8 @@
 
 // readCallers forwards the datagrams of one service address.
 func (b *Balancer) readCallers(conn *udp.Conn) {
-	// A longer datagram is cut by the read and then found not to fit.
+	// The read truncates a longer datagram to the MTU, which is still more than
+	// an envelope can carry: forward counts it as oversize.
 	buf := make([]byte, b.options.MTU)
 	out := make([]byte, 0, b.options.MTU+packet.MaxOverhead)
 	for {
@@ -44,7 +45,7 @@
 	}
 }
 
-// forward sends one datagram to the agent that its flow is placed on.
+// forward sends a datagram to the agent that its flow is placed on.
 func (b *Balancer) forward(tuple flow.Tuple, payload, out []byte) {
 	d, err := b.forwarder.Forward(tuple)
 	if err != nil {
@@ -68,7 +69,7 @@
 	b.stats.Forwarded.Add(1)
 }
 
-// readEnvelopes sends the replies of agents to their callers.
+// readEnvelopes forwards the agents' replies to the callers.
 func (b *Balancer) readEnvelopes() {
 	buf := make([]byte, b.options.MTU+packet.MaxOverhead)
 	var header packet.Header
@@ -86,10 +87,10 @@
 	}
 }
 
-// reply sends one datagram to its caller from the service address.
+// reply sends a datagram to its caller from the service address.
 func (b *Balancer) reply(h *packet.Header, payload []byte) {
 	b.mu.Lock()
-	l := b.listeners[b.listenKey(proto.ModePacket, h.Flow.Tuple.Service)]
+	l := b.listeners[b.listenerKeyFor(proto.ModePacket, h.Flow.Tuple.Service)]
 	b.mu.Unlock()
 	conn, ok := l.(*udp.Conn)
 	if !ok {
--- a/internal/role/balancer/requests.go
+++ b/internal/role/balancer/requests.go
@@ -24,27 +24,28 @@
 	})
 }
 
-// setRequestServices tells the gateway of all services in request mode.
+// setRequestServices passes all services in request mode to the gateway.
 func (b *Balancer) setRequestServices(services []proto.Service) {
-	var in []gateway.Service
+	var requestServices []gateway.Service
 	for _, s := range services {
 		if s.Mode == proto.ModeRequest {
-			in = append(in, gateway.Service{ID: s.ID, Name: s.Name, Policy: gateway.PolicyFor(s)})
+			requestServices = append(requestServices, gateway.Service{ID: s.ID, Name: s.Name, Policy: gateway.PolicyFor(s)})
 		}
 	}
-	b.gateway.SetServices(in)
+	b.gateway.SetServices(requestServices)
 }
 
-// setRequestViews tells the gateway of views; it passes over those of services
-// that it does not serve, and those that are not newer.
+// setRequestViews passes views to the gateway, which ignores those of services
+// that it does not serve and those that are not newer.
 func (b *Balancer) setRequestViews(views []*view.View) {
 	for _, v := range views {
 		b.gateway.SetView(v)
 	}
 }
 
-// connQueue hands accepted connections to the HTTP server, so that the sockets
-// on the service addresses stay the balancer's.
+// connQueue is the HTTP server's net.Listener. It passes on the connections that
+// the balancer accepts, so that the balancer keeps ownership of the sockets on
+// the service addresses.
 type connQueue struct {
 	conns  chan net.Conn
 	closed chan struct{}
@@ -77,12 +78,13 @@
 // startRequests starts the gateway and its HTTP server.
 func (b *Balancer) startRequests() {
 	b.gateway = b.newGateway()
-	b.callers = newConnQueue()
+	b.requestConns = newConnQueue()
 	b.server = b.gateway.Server(http.HandlerFunc(b.serveRequest))
-	b.tasks.Go(func() { _ = b.server.Serve(b.callers) }) // ends with an error on Close
+	b.tasks.Go(func() { _ = b.server.Serve(b.requestConns) }) // returns an error on Close
 }
 
-// acceptRequests takes connections on one service address.
+// acceptRequests accepts connections on a service address and passes them to the
+// HTTP server.
 func (b *Balancer) acceptRequests(l *net.TCPListener) {
 	for {
 		conn, err := l.AcceptTCP()
@@ -90,20 +92,21 @@
 			return
 		}
 		select {
-		case b.callers.conns <- conn:
-		case <-b.callers.closed:
+		case b.requestConns.conns <- conn:
+		case <-b.requestConns.closed:
 			splice.Reset(conn)
 		}
 	}
 }
 
-// serveRequest finds the service by the address that the caller connected to.
+// serveRequest serves a request by the service whose address the caller
+// connected to.
 func (b *Balancer) serveRequest(w http.ResponseWriter, r *http.Request) {
 	local, ok := r.Context().Value(http.LocalAddrContextKey).(*net.TCPAddr)
 	if !ok {
 		panic(http.ErrAbortHandler)
 	}
-	id, ok := b.table.service(local.AddrPort())
+	id, ok := b.table.serviceAt(local.AddrPort())
 	if !ok {
 		b.stats.Unplaced.Add(1)
 		panic(http.ErrAbortHandler)
--- a/internal/role/balancer/streams.go
+++ b/internal/role/balancer/streams.go
@@ -15,11 +15,11 @@
 	"fulmarmount.org/fulmarmount/internal/udp"
 )
 
-// tunnelLimit bounds the opening of a tunnel to a backend server.
-const tunnelLimit = 3 * time.Second
+// tunnelOpenTimeout limits the opening of a tunnel to a backend server.
+const tunnelOpenTimeout = 3 * time.Second
 
-// listenTCP opens the listener for TCP connections on one service address.
-// A connection lives on this balancer: it ends with it.
+// listenTCP opens the listener for TCP connections on a service address. A
+// connection ends with the process that has accepted it.
 func (b *Balancer) listenTCP(addr netip.AddrPort) (*net.TCPListener, error) {
 	config := &net.ListenConfig{}
 	if b.options.Spray > 0 {
@@ -38,17 +38,17 @@
 		if err != nil {
 			return
 		}
-		b.streams.Go(func() { b.serveStream(conn) })
+		b.openStreams.Go(func() { b.serveStream(conn) })
 	}
 }
 
-// serveStream carries one caller connection to its backend server.
+// serveStream proxies a caller's connection to its backend server.
 func (b *Balancer) serveStream(conn *net.TCPConn) {
 	tuple := flow.Tuple{
 		Caller:  conn.RemoteAddr().(*net.TCPAddr).AddrPort(),
 		Service: conn.LocalAddr().(*net.TCPAddr).AddrPort(),
 	}
-	t, ok := b.table.pick(tuple)
+	t, ok := b.table.selectBackendServer(tuple)
 	if !ok {
 		b.stats.Unplaced.Add(1)
 		splice.Reset(conn)
@@ -56,7 +56,7 @@
 	}
 	tunnel, err := b.openTunnel(t, tuple.Caller)
 	if err != nil {
-		b.options.Log.Warn("Cannot reach a backend server.", zap.String("id", t.member.ID), zap.Error(err))
+		b.options.Log.Warn("Failed to open a tunnel to a backend server; the caller's connection is reset.", zap.String("id", t.backendServer.ID), zap.Error(err))
 		b.stats.Failed.Add(1)
 		splice.Reset(conn)
 		return
@@ -65,15 +65,15 @@
 }
 
 func (b *Balancer) openTunnel(t target, caller netip.AddrPort) (*peer.Stream, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), tunnelLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), tunnelOpenTimeout)
 	defer cancel()
-	s, err := b.pool.Open(ctx, t.member.Requests, proto.Tunnel)
+	s, err := b.pool.Open(ctx, t.backendServer.Requests, proto.Tunnel)
 	if err != nil {
 		return nil, err
 	}
 	stop := context.AfterFunc(ctx, s.Abort)
 	defer stop()
-	open := proto.TunnelOpen{Service: t.service, Incarnation: t.member.Incarnation, Caller: caller}
+	open := proto.TunnelOpen{Service: t.service, Incarnation: t.backendServer.Incarnation, Caller: caller}
 	if err := s.Send(open); err != nil {
 		return nil, err
 	}
@@ -83,7 +83,7 @@
 	}
 	if !reply.Connected {
 		s.Abort()
-		return nil, peer.DialFailed.New("agent of %q refused the tunnel: %s", t.member.ID, reply.Reason)
+		return nil, peer.DialFailed.New("agent of backend server %q rejected the tunnel: %s", t.backendServer.ID, reply.Reason)
 	}
 	return s, nil
 }
--- a/internal/role/balancer/table.go
+++ b/internal/role/balancer/table.go
@@ -12,7 +12,7 @@
 	"fulmarmount.org/fulmarmount/internal/proto"
 )
 
-// table maps service addresses to services and their views.
+// table holds the active services with their addresses and views.
 type table struct {
 	mu        sync.RWMutex
 	services  map[string]proto.Service
@@ -28,18 +28,18 @@
 	}
 }
 
-// adopt puts an update in force.
+// adopt activates an update.
 func (t *table) adopt(u proto.Update) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, name := range u.Removed {
-		t.remove(name)
+		t.removeService(name)
 	}
 	for _, s := range u.Services {
 		if old, ok := t.services[s.Name]; ok && old.ID != s.ID {
-			t.remove(s.Name)
+			t.removeService(s.Name)
 		} else {
-			t.unmap(old)
+			t.removeAddresses(old)
 		}
 	}
 	for _, s := range u.Services {
@@ -55,25 +55,25 @@
 	}
 }
 
-// serving returns the services in force.
-func (t *table) serving() []proto.Service {
+// activeServices returns the active services.
+func (t *table) activeServices() []proto.Service {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return slices.Collect(maps.Values(t.services))
 }
 
-func (t *table) remove(name string) {
+func (t *table) removeService(name string) {
 	s, ok := t.services[name]
 	if !ok {
 		return
 	}
-	t.unmap(s)
+	t.removeAddresses(s)
 	delete(t.views, s.ID)
 	delete(t.services, name)
 }
 
-// unmap gives up the addresses of a service that are still its own.
-func (t *table) unmap(s proto.Service) {
+// removeAddresses deletes the addresses that still map to a service.
+func (t *table) removeAddresses(s proto.Service) {
 	for _, addr := range s.Addresses {
 		if t.addresses[addr] == s.ID {
 			delete(t.addresses, addr)
@@ -81,8 +81,8 @@
 	}
 }
 
-// pick chooses the agent of a flow.
-func (t *table) pick(tuple flow.Tuple) (target, bool) {
+// selectBackendServer returns the backend server that a flow is placed on.
+func (t *table) selectBackendServer(tuple flow.Tuple) (target, bool) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	id, ok := t.addresses[tuple.Service]
@@ -97,19 +97,19 @@
 	if i == placement.None {
 		return target{}, false
 	}
-	return target{service: id, view: v.Version, member: &v.Members[i]}, true
+	return target{service: id, version: v.Version, backendServer: &v.Members[i]}, true
 }
 
-// service returns the service of an address.
-func (t *table) service(addr netip.AddrPort) (view.ServiceID, bool) {
+// serviceAt returns the service at an address.
+func (t *table) serviceAt(addr netip.AddrPort) (view.ServiceID, bool) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	id, ok := t.addresses[addr]
 	return id, ok
 }
 
-// members returns the size of a service's view.
-func (t *table) members(id view.ServiceID) int {
+// backendServerCount returns the number of backend servers in a service's view.
+func (t *table) backendServerCount(id view.ServiceID) int {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	if v := t.views[id]; v != nil {
@@ -118,15 +118,16 @@
 	return 0
 }
 
-// snapshot returns the views in force.
-func (t *table) snapshot() []*view.View {
+// activeViews returns the active view of each service.
+func (t *table) activeViews() []*view.View {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return slices.Collect(maps.Values(t.views))
 }
 
-// available returns how many members of a service's view take new flows.
-func (t *table) available(id view.ServiceID) int {
+// availableCount returns the number of backend servers in a service's view that
+// accept new flows.
+func (t *table) availableCount(id view.ServiceID) int {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	n := 0
