--- a/internal/role/agent/agent.go
+++ b/internal/role/agent/agent.go
@@ -1,5 +1,6 @@
-// Package agent runs the agent role beside one backend server. The agent owns
-// the flows that its backend server serves; no other process decides about them.
+// Package agent implements the agent role beside one backend server. The agent
+// owns the flows that its backend server serves: no other agent or balancer
+// decides where their packets go.
 package agent
 
 import (
@@ -27,13 +28,14 @@
 
 // Options configure an Agent.
 type Options struct {
-	// ID names the backend server and survives restarts.
+	// ID identifies the backend server and is the same after a restart.
 	ID string
 	// Service is the name of the service that the backend server serves.
 	Service string
 	// Zone is the availability zone.
 	Zone string
-	// Incarnation numbers this run; it must be greater than any earlier run's.
+	// Incarnation is this run's number, greater than that of any earlier run. An
+	// agent that restores a predecessor's state continues its incarnation.
 	Incarnation view.Incarnation
 	// Backend is the backend server's address, for UDP and TCP.
 	Backend netip.AddrPort
@@ -41,74 +43,77 @@
 	Packets netip.AddrPort
 	// Requests is the UDP address for peer connections.
 	Requests netip.AddrPort
-	// Slots is the number of requests the backend server runs at once.
+	// Slots is the number of requests that the backend server runs concurrently.
 	Slots uint16
-	// IdleTimeout ends a flow that has carried nothing for that long.
+	// IdleTimeout is the time without packets after which a flow ends.
 	IdleTimeout time.Duration
 	// MTU is the largest IP packet in bytes between balancers and agents.
 	MTU int
-	// ReadBuffer is the kernel's receive buffer of the envelope socket in bytes.
+	// ReadBuffer is the size of the envelope socket's kernel receive buffer in bytes.
 	ReadBuffer int
-	// Control are the addresses of control processes.
+	// Control lists the addresses of the control processes.
 	Control []netip.AddrPort
-	// ServerTLS checks the certificates of balancers and agents.
+	// ServerTLS verifies the certificates of balancers and agents.
 	ServerTLS *tls.Config
-	// ClientTLS returns the settings of a connection to control.
+	// ClientTLS returns the TLS configuration of a connection to control or an
+	// agent.
 	ClientTLS func() *tls.Config
 	// Keys seal the envelopes.
 	Keys packet.Keys
-	// HandoverPath is the file in which a stopping agent of a service of mode packet
-	// leaves its flows to its successor; empty for none.
+	// HandoverPath is the file through which a stopping agent of a service in
+	// packet mode passes its flows to its successor; empty to disable the handover.
 	HandoverPath string
-	// Session is a random number for this run's envelopes.
+	// Session is a random number that identifies this agent's envelopes.
 	Session uint64
-	// Now is the clock.
+	// Now returns the current time.
 	Now func() time.Time
 	Log *zap.Logger
 }
 
-// confirmWithin is how long an agent without control still takes new
-// idempotency keys. It is shorter than control keeps a silent host in the views,
-// so that no two groups of holders let one key run.
-const confirmWithin = 25 * time.Second
+// maxConfirmationAge is how long an agent without contact to control still
+// accepts new idempotency keys. It is shorter than the time for which control
+// keeps an unresponsive agent in the views, so that no two sets of primary and
+// backup run the same key.
+const maxConfirmationAge = 25 * time.Second
 
-// Agent is one running agent.
+// Agent is a running agent.
 type Agent struct {
-	options   Options
-	flows     flows
-	owner     owner
-	limits    limits
-	paths     *flow.ReturnPaths
-	stats     Stats
-	service   atomic.Uint32
-	sealer    *packet.Sealer
-	opener    *packet.Opener
-	envelopes *udp.Conn
-	server    *peer.Server
-	pool      *peer.Pool
-	requests  *gateway.Agent
-	cancel    context.CancelFunc
-	tasks     sync.WaitGroup
-	tunnels   atomic.Int64
-	draining  atomic.Bool
-	// sequence is the number of the last announcement of a predecessor,
-	// announced that of this process.
-	sequence  uint64
-	announced atomic.Uint64
-	// own is the service's configuration, packetMode whether it is of mode packet.
-	own           atomic.Pointer[proto.Service]
-	packetMode    atomic.Bool
-	envelopesRead sync.WaitGroup
-	// left is closed once control has taken an announcement of draining.
-	left     chan struct{}
-	leftOnce sync.Once
+	options     Options
+	sockets     flowSockets
+	ownership   ownershipTable
+	limits      flowLimits
+	returnPaths *flow.ReturnPaths
+	stats       Stats
+	serviceID   atomic.Uint32
+	sealer      *packet.Sealer
+	opener      *packet.Opener
+	envelopes   *udp.Conn
+	server      *peer.Server
+	pool        *peer.Pool
+	requests    *gateway.Agent
+	cancel      context.CancelFunc
+	tasks       sync.WaitGroup
+	openTunnels atomic.Int64
+	isDraining  atomic.Bool
+	// sequenceBase is the number after which this agent numbers its announcements,
+	// 0 without a predecessor; lastSequence is the number of the last one.
+	sequenceBase uint64
+	lastSequence atomic.Uint64
+	// serviceConfig is the service's active configuration, and isPacketMode
+	// whether the service is in packet mode.
+	serviceConfig  atomic.Pointer[proto.Service]
+	isPacketMode   atomic.Bool
+	envelopeReader sync.WaitGroup
+	// drainAccepted is closed once control has accepted an announcement of draining.
+	drainAccepted     chan struct{}
+	drainAcceptedOnce sync.Once
 }
 
 // Start opens the sockets, announces the backend server and serves until Close.
 func Start(o Options) (*Agent, error) {
-	inherited := takeSuccession(o)
-	if inherited != nil {
-		o.Incarnation = inherited.Incarnation
+	predecessorState := loadHandoverState(o)
+	if predecessorState != nil {
+		o.Incarnation = predecessorState.Incarnation
 	}
 	envelopes, err := udp.Listen(udp.Options{Addr: o.Packets, ReadBuffer: o.ReadBuffer})
 	if err != nil {
@@ -116,30 +121,30 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	a := &Agent{
-		options:   o,
-		limits:    limits{idle: o.IdleTimeout},
-		paths:     flow.NewReturnPaths(),
-		sealer:    packet.NewSealer(o.Keys, o.Session),
-		opener:    packet.NewOpener(o.Keys, o.Now),
-		envelopes: envelopes,
-		pool:      peer.NewPool(o.ClientTLS),
-		cancel:    cancel,
-		left:      make(chan struct{}),
+		options:       o,
+		limits:        flowLimits{idleTimeout: o.IdleTimeout},
+		returnPaths:   flow.NewReturnPaths(),
+		sealer:        packet.NewSealer(o.Keys, o.Session),
+		opener:        packet.NewOpener(o.Keys, o.Now),
+		envelopes:     envelopes,
+		pool:          peer.NewPool(o.ClientTLS),
+		cancel:        cancel,
+		drainAccepted: make(chan struct{}),
 	}
-	a.flows.init()
+	a.sockets.init()
 	a.requests = gateway.NewAgent(gateway.AgentOptions{
 		Self:          attempt.Target{Server: o.ID, Incarnation: o.Incarnation},
 		Backend:       o.Backend,
 		Slots:         int(o.Slots),
 		Policy:        gateway.DefaultPolicy(),
-		ConfirmWithin: confirmWithin,
+		ConfirmWithin: maxConfirmationAge,
 		Pool:          a.pool,
 		Now:           o.Now,
 		Log:           o.Log.Named("requests"),
 	})
 	handlers := a.requests.Handlers()
-	handlers[proto.Tunnel] = a.tunnel
-	a.owner = newOwner(o, envelopes.Addr())
+	handlers[proto.Tunnel] = a.handleTunnel
+	a.ownership = newOwnershipTable(o, envelopes.Addr())
 	a.server, err = peer.Listen(peer.ServerOptions{
 		Addr:     o.Requests,
 		TLS:      o.ServerTLS,
@@ -152,10 +157,10 @@
 		_ = envelopes.Close()
 		return nil, err
 	}
-	a.inherit(inherited)
-	a.envelopesRead.Go(a.readEnvelopes)
-	a.tasks.Go(func() { a.sweep(ctx) })
-	a.tasks.Go(func() { a.push(ctx) })
+	a.restore(predecessorState)
+	a.envelopeReader.Go(a.readEnvelopes)
+	a.tasks.Go(func() { a.expireFlows(ctx) })
+	a.tasks.Go(func() { a.pushPointers(ctx) })
 	a.tasks.Go(func() { a.announce(ctx) })
 	a.tasks.Go(func() {
 		subscribe.Run(ctx, subscribe.Options{
@@ -173,77 +178,79 @@
 }
 
 const (
-	// settleTime is how long views take to be in force once control has
-	// numbered them.
-	settleTime = time.Second
-	// idleCheck is how often a stopping agent looks whether its work is done.
-	idleCheck = 50 * time.Millisecond
+	// activationDelay is the time in which a view becomes active at balancers and
+	// agents once control has assigned its version.
+	activationDelay = time.Second
+	// idlePollInterval is how often a stopping agent checks for unfinished work.
+	idlePollInterval = 50 * time.Millisecond
 )
 
-// Stop leaves the flows to a successor where it can. Else it leaves the service: it takes no new work, finishes what it has and
-// closes, at the latest when ctx ends.
+// Stop hands the flows over to a successor if possible. Otherwise it drains the
+// agent: it announces the drain, waits until flows, tunnels and requests have
+// ended or ctx is done, and closes the agent.
 func (a *Agent) Stop(ctx context.Context) error {
-	if a.canBequeath() {
-		return a.bequeath()
+	if a.canHandOver() {
+		return a.handOver()
 	}
-	a.draining.Store(true)
+	a.isDraining.Store(true)
 	select {
 	case <-ctx.Done():
-	case <-a.left:
-		pace.Sleep(ctx, settleTime)
+	case <-a.drainAccepted:
+		pace.Sleep(ctx, activationDelay)
 	}
-	for a.busy() && pace.Sleep(ctx, idleCheck) {
+	for a.isBusy() && pace.Sleep(ctx, idlePollInterval) {
 	}
-	if a.busy() {
-		a.options.Log.Warn("Stopped before all work was done.",
-			zap.Int("flows", a.flows.count()), zap.Int64("tunnels", a.tunnels.Load()))
+	if a.isBusy() {
+		a.options.Log.Warn("Stopped with flows, tunnels or requests still open.",
+			zap.Int("flows", a.sockets.count()), zap.Int64("tunnels", a.openTunnels.Load()))
 	}
 	return a.Close()
 }
 
-// busy reports whether the agent holds flows, tunnels or requests.
-func (a *Agent) busy() bool {
-	return a.tunnels.Load() > 0 || a.flows.count() > 0 || a.requests.Busy()
+// isBusy reports whether the agent has open flows, tunnels or requests.
+func (a *Agent) isBusy() bool {
+	return a.openTunnels.Load() > 0 || a.sockets.count() > 0 || a.requests.Busy()
 }
 
 // Close ends every flow and closes the sockets.
 func (a *Agent) Close() error {
 	a.cancel()
 	err := a.envelopes.Close()
-	a.flows.closeAll()
+	a.sockets.closeAll()
 	a.requests.Close()
 	_ = a.server.Close()
 	a.pool.Close()
-	a.envelopesRead.Wait()
+	a.envelopeReader.Wait()
 	a.tasks.Wait()
 	return err
 }
 
-// noteState reads the backend server's own state from its service's view.
-func (a *Agent) noteState(v *view.View) {
+// updateDrainState applies the backend server's state in its service's view to
+// the flow limits.
+func (a *Agent) updateDrainState(v *view.View) {
 	if i := v.IndexOf(a.options.ID); i >= 0 {
 		a.limits.setState(v.Members[i].State, a.options.Now())
 	}
 }
 
-// adopt puts the agent's own service and its view in force.
+// adopt activates the configuration and the view of the agent's service.
 func (a *Agent) adopt(u proto.Update) {
 	for _, s := range u.Services {
 		if s.Name == a.options.Service {
-			a.own.Store(&s)
-			a.packetMode.Store(s.Mode == proto.ModePacket)
-			a.service.Store(uint32(s.ID))
+			a.serviceConfig.Store(&s)
+			a.isPacketMode.Store(s.Mode == proto.ModePacket)
+			a.serviceID.Store(uint32(s.ID))
 			a.requests.SetPolicy(gateway.PolicyFor(s))
-			a.limits.setService(s.Settings, a.options.IdleTimeout)
-			a.owner.setService(s.ID, s.Addresses)
+			a.limits.setSettings(s.Settings, a.options.IdleTimeout)
+			a.ownership.setService(s.ID, s.Addresses)
 		}
 	}
 	if slices.Contains(u.Removed, a.options.Service) {
-		a.owner.setService(view.ServiceID(a.service.Load()), nil)
+		a.ownership.setService(view.ServiceID(a.serviceID.Load()), nil)
 	}
 	for _, v := range u.Views {
-		if a.owner.setView(v) {
-			a.noteState(v)
+		if a.ownership.setView(v) {
+			a.updateDrainState(v)
 			a.options.Log.Info("Adopted a view.", zap.Stringer("version", v.Version), zap.Int("members", len(v.Members)))
 		}
 	}
--- a/internal/role/agent/announce.go
+++ b/internal/role/agent/announce.go
@@ -9,36 +9,36 @@
 	"fulmarmount.org/fulmarmount/internal/subscribe"
 )
 
-// announce renews the agent's lease until ctx ends.
+// announce renews the agent's lease until ctx is done.
 func (a *Agent) announce(ctx context.Context) {
-	sequence := a.sequence
+	sequence := a.sequenceBase
 	announce.Run(ctx, announce.Options{
 		Name:    a.options.ID,
 		Control: subscribe.Fixed(a.options.Control...),
 		Pool:    a.pool,
 		Next: func() (view.Announcement, bool) {
 			sequence++
-			a.announced.Store(sequence)
+			a.lastSequence.Store(sequence)
 			return a.announcement(sequence), true
 		},
-		Answered: a.answered,
+		Answered: a.handleAnnounceReply,
 		Silent:   func() { a.stats.UnresponsiveControl.Add(1) },
 		Log:      a.options.Log,
 	})
 }
 
-// answered takes control's answer to an announcement.
-func (a *Agent) answered(announcement view.Announcement, reply proto.AnnounceReply) {
-	a.owner.flows.SetLoads(reply.Loads)
+// handleAnnounceReply handles control's response to an announcement.
+func (a *Agent) handleAnnounceReply(announcement view.Announcement, reply proto.AnnounceReply) {
+	a.ownership.flows.SetLoads(reply.Loads)
 	if announcement.Draining && reply.Accepted {
-		a.leftOnce.Do(func() { close(a.left) })
+		a.drainAcceptedOnce.Do(func() { close(a.drainAccepted) })
 	}
 }
 
 func (a *Agent) announcement(sequence uint64) view.Announcement {
-	var holds view.Version
-	if v := a.owner.flows.View(); v != nil && a.service.Load() != 0 {
-		holds = v.Version
+	var adopted view.Version
+	if v := a.ownership.flows.View(); v != nil && a.serviceID.Load() != 0 {
+		adopted = v.Version
 	}
 	return view.Announcement{
 		Service:        a.options.Service,
@@ -49,9 +49,9 @@
 		Requests:       a.server.Addr(),
 		Slots:          a.options.Slots,
 		Healthy:        true,
-		Draining:       a.draining.Load(),
+		Draining:       a.isDraining.Load(),
 		Sequence:       sequence,
-		AdoptedVersion: holds,
-		Flows:          uint32(a.owner.flows.OwnedCount()),
+		AdoptedVersion: adopted,
+		Flows:          uint32(a.ownership.flows.OwnedCount()),
 	}
 }
--- a/internal/role/agent/dump.go
+++ b/internal/role/agent/dump.go
@@ -9,7 +9,7 @@
 	"fulmarmount.org/fulmarmount/internal/gateway"
 )
 
-// Dump is the state of an agent.
+// Dump is the state of an agent for the admin interface.
 type Dump struct {
 	ID          string           `json:"id"`
 	Service     string           `json:"service"`
@@ -18,36 +18,37 @@
 	Packets     netip.AddrPort   `json:"packets"`
 	Requests    netip.AddrPort   `json:"requests"`
 	Backend     netip.AddrPort   `json:"backend"`
-	// RequestState is what the agent holds of requests in request mode.
+	// RequestState is the state of requests of a service in request mode.
 	RequestState gateway.AgentState `json:"requested"`
-	// Flows is the number of sockets to the backend server.
+	// Flows is the number of open flow sockets to the backend server.
 	Flows int `json:"flows"`
-	// View is the newest view adopted, Draining whether the agent asks to leave.
+	// View is the version of the active view, and Draining whether the agent
+	// announces that it drains.
 	View     view.Version `json:"view"`
 	Draining bool         `json:"draining"`
-	// FlowsByOwner are the flows known here by owner: those owned here first, then
-	// those known to be owned by others.
+	// FlowsByOwner counts the flows in this agent's table by owner: first those
+	// that it owns, then those with a pointer to another owner.
 	FlowsByOwner []OwnerFlows `json:"holdings"`
-	// UnacknowledgedPointers is the number of pointers to flows owned here whose
-	// receipt is not known yet.
+	// UnacknowledgedPointers is the number of pointers to this agent's flows whose
+	// recipients have not acknowledged them yet.
 	UnacknowledgedPointers int `json:"unacknowledged_pointers"`
-	// FlowStats count what the flow table decided, Dropped the packets it
-	// refused by reason, Pushes what was pushed.
+	// FlowStats counts the flow table's decisions, Dropped the packets that it
+	// dropped by reason, and PointerStats the pointers pushed.
 	FlowStats    flow.Stats        `json:"decisions"`
 	Dropped      map[string]uint64 `json:"dropped"`
 	PointerStats locator.Stats     `json:"pushes"`
 	Counters     Counters          `json:"counters"`
 }
 
-// OwnerFlows is the number of flows of one owner.
+// OwnerFlows is the number of flows of an owner.
 type OwnerFlows struct {
-	// Owner is the backend server's ID, or the agent's address where the view
-	// in force does not hold it.
+	// Owner is the backend server's ID, or the agent's address if the active view
+	// does not contain it.
 	Owner string `json:"owner"`
 	Flows int    `json:"flows"`
 }
 
-// Counters are the values of Stats and the open tunnels at one time.
+// Counters is a snapshot of Stats and the number of open tunnels.
 type Counters struct {
 	Delivered           uint64 `json:"delivered"`
 	Replied             uint64 `json:"replied"`
@@ -62,35 +63,35 @@
 	Tunnels      int64  `json:"tunnels"`
 }
 
-// Dump returns the agent's state.
+// Dump returns the agent's state, a Dump.
 func (a *Agent) Dump() any {
 	d := Dump{
 		ID:           a.options.ID,
 		Service:      a.options.Service,
-		ServiceID:    view.ServiceID(a.service.Load()),
+		ServiceID:    view.ServiceID(a.serviceID.Load()),
 		Incarnation:  a.options.Incarnation,
 		Packets:      a.envelopes.Addr(),
 		Requests:     a.server.Addr(),
 		Backend:      a.options.Backend,
-		Flows:        a.flows.count(),
+		Flows:        a.sockets.count(),
 		Counters:     a.counters(),
 		RequestState: a.requests.State(),
 
-		Draining:               a.draining.Load(),
-		FlowsByOwner:           a.owner.holdings(a.options.ID),
-		UnacknowledgedPointers: a.owner.pusher.UnacknowledgedPointers(),
-		FlowStats:              a.owner.flows.Stats(),
-		Dropped:                a.owner.flows.Stats().Dropped.ByName(),
-		PointerStats:           a.owner.pusher.Stats(),
+		Draining:               a.isDraining.Load(),
+		FlowsByOwner:           a.ownership.flowsByOwner(a.options.ID),
+		UnacknowledgedPointers: a.ownership.pusher.UnacknowledgedPointers(),
+		FlowStats:              a.ownership.flows.Stats(),
+		Dropped:                a.ownership.flows.Stats().Dropped.ByName(),
+		PointerStats:           a.ownership.pusher.Stats(),
 	}
-	if v := a.owner.flows.View(); v != nil {
+	if v := a.ownership.flows.View(); v != nil {
 		d.View = v.Version
 	}
 	return d
 }
 
-// holdings names the owners of the flows known here.
-func (o *owner) holdings(self string) []OwnerFlows {
+// flowsByOwner returns the number of flows of each owner in the table.
+func (o *ownershipTable) flowsByOwner(self string) []OwnerFlows {
 	v := o.flows.View()
 	var out []OwnerFlows
 	for _, h := range o.flows.FlowsByOwner() {
@@ -107,10 +108,10 @@
 	return out
 }
 
-// OwnedFlowCount returns the number of flows owned.
-func (a *Agent) OwnedFlowCount() int { return a.owner.flows.OwnedCount() }
+// OwnedFlowCount returns the number of flows that the agent owns.
+func (a *Agent) OwnedFlowCount() int { return a.ownership.flows.OwnedCount() }
 
-// Counters returns the packet counters.
+// Counters returns the packet counters, a Counters.
 func (a *Agent) Counters() any { return a.counters() }
 
 func (a *Agent) counters() Counters {
@@ -126,6 +127,6 @@
 		ControlSent:  a.stats.ControlSent.Load(),
 		ControlBytes: a.stats.ControlBytes.Load(),
 
-		Tunnels: a.tunnels.Load(),
+		Tunnels: a.openTunnels.Load(),
 	}
 }
--- a/internal/role/agent/flows.go
+++ b/internal/role/agent/flows.go
@@ -12,8 +12,8 @@
 
 const flowShards = 64
 
-// flows holds the sockets of the flows that the agent owns, in shards.
-type flows struct {
+// flowSockets holds the sockets of the flows that the agent owns, sharded by tuple.
+type flowSockets struct {
 	shards [flowShards]flowShard
 }
 
@@ -22,38 +22,39 @@
 	flows map[flow.Tuple]*ownedFlow
 }
 
-// ownedFlow is one flow's connected socket to the backend server.
+// ownedFlow is an owned flow with its connected socket to the backend server.
 type ownedFlow struct {
-	tuple flow.Tuple
-	id    flow.ID
-	conn  *net.UDPConn
-	seen  atomic.Int64 // Unix time in nanoseconds of the last packet either way
+	tuple      flow.Tuple
+	id         flow.ID
+	conn       *net.UDPConn
+	lastPacket atomic.Int64 // Unix time in nanoseconds of the last packet in either direction
 
-	mu   sync.Mutex
-	last inbound
+	mu             sync.Mutex
+	lastFromCaller callerPacket
 }
 
-// inbound is what an agent knows of the caller's last packet.
-type inbound struct {
-	replyTo netip.AddrPort
+// callerPacket describes the last packet of a flow's caller.
+type callerPacket struct {
+	replyTo netip.AddrPort // the balancer's envelope address
 	at      time.Time
 }
 
-func (f *flows) init() {
+func (f *flowSockets) init() {
 	for i := range f.shards {
 		f.shards[i].flows = make(map[flow.Tuple]*ownedFlow)
 	}
 }
 
-// get returns the flow of a tuple, and opens it with dial where it is new.
-func (f *flows) get(tuple flow.Tuple, dial func() (*ownedFlow, error)) (*ownedFlow, bool, error) {
+// getOrOpen returns the flow of a tuple, opening it if it is new, and reports
+// whether it has opened it.
+func (f *flowSockets) getOrOpen(tuple flow.Tuple, open func() (*ownedFlow, error)) (*ownedFlow, bool, error) {
 	s := &f.shards[tuple.Key()%flowShards]
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if o := s.flows[tuple]; o != nil {
 		return o, false, nil
 	}
-	o, err := dial()
+	o, err := open()
 	if err != nil {
 		return nil, false, err
 	}
@@ -61,30 +62,32 @@
 	return o, true, nil
 }
 
-// received notes a packet of the caller, and through which balancer it came.
-func (o *ownedFlow) received(now time.Time, replyTo netip.AddrPort) {
-	o.seen.Store(now.UnixNano())
+// recordCallerPacket records the arrival of a packet from the caller through the
+// balancer at replyTo.
+func (o *ownedFlow) recordCallerPacket(now time.Time, replyTo netip.AddrPort) {
+	o.lastPacket.Store(now.UnixNano())
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.last = inbound{replyTo: replyTo, at: now}
+	o.lastFromCaller = callerPacket{replyTo: replyTo, at: now}
 }
 
-// lastInbound returns what the caller's last packet told.
-func (o *ownedFlow) lastInbound() inbound {
+// lastCallerPacket returns the arrival time and balancer of the caller's last
+// packet.
+func (o *ownedFlow) lastCallerPacket() callerPacket {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.last
+	return o.lastFromCaller
 }
 
-// expire closes the flows that have been idle since before the limit and calls
-// ended with each.
-func (f *flows) expire(limit time.Time, ended func(flow.ID)) {
+// closeIdle closes the flows whose last packet is older than cutoff and calls
+// onClose with each.
+func (f *flowSockets) closeIdle(cutoff time.Time, onClose func(flow.ID)) {
 	for i := range f.shards {
 		s := &f.shards[i]
 		s.mu.Lock()
 		for tuple, o := range s.flows {
-			if o.seen.Load() < limit.UnixNano() {
-				ended(o.id)
+			if o.lastPacket.Load() < cutoff.UnixNano() {
+				onClose(o.id)
 				_ = o.conn.Close()
 				delete(s.flows, tuple)
 			}
@@ -94,7 +97,7 @@
 }
 
 // closeAll closes every flow.
-func (f *flows) closeAll() {
+func (f *flowSockets) closeAll() {
 	for i := range f.shards {
 		s := &f.shards[i]
 		s.mu.Lock()
@@ -107,7 +110,7 @@
 }
 
 // count returns the number of open flows.
-func (f *flows) count() int {
+func (f *flowSockets) count() int {
 	n := 0
 	for i := range f.shards {
 		s := &f.shards[i]
--- a/internal/role/agent/limits.go
+++ b/internal/role/agent/limits.go
@@ -8,47 +8,50 @@
 	"fulmarmount.org/core/view"
 )
 
-// limits tell when flows end that carry nothing or whose backend server is to
-// leave. It is safe for concurrent use.
-type limits struct {
+// flowLimits decides when the agent ends idle flows and, at the end of a drain,
+// the remaining flows. It is safe for concurrent use.
+type flowLimits struct {
 	mu sync.Mutex
-	// idle ends a flow without packets, drain those that are left so long
-	// after the backend server began to drain; 0 for never.
-	idle, drain time.Duration
-	// draining is when the drain began; the zero time without one.
-	draining time.Time
+	// idleTimeout is the time without packets after which a flow ends. drainLimit
+	// is the time after the start of a drain at which the remaining flows end; 0
+	// sets no limit.
+	idleTimeout, drainLimit time.Duration
+	// drainStart is the time at which the drain started; zero while none is active.
+	drainStart time.Time
 }
 
-// setService adopts the service's settings. The agent's own idle timeout holds
-// where it is the shorter one.
-func (l *limits) setService(s fleet.Settings, own time.Duration) {
+// setSettings applies the service's settings. The idle timeout is the shorter of
+// the agent's and the service's.
+func (l *flowLimits) setSettings(s fleet.Settings, agentTimeout time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.idle, l.drain = own, s.DrainLimit
+	l.idleTimeout, l.drainLimit = agentTimeout, s.DrainLimit
 	if s.IdleTimeout > 0 {
-		l.idle = min(own, s.IdleTimeout)
+		l.idleTimeout = min(agentTimeout, s.IdleTimeout)
 	}
 }
 
-// setState notes the state of the backend server in the view in force.
-func (l *limits) setState(state view.State, now time.Time) {
+// setState records the backend server's state in the active view and, with it,
+// the start or the end of a drain.
+func (l *flowLimits) setState(state view.State, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
 	case state != view.Draining:
-		l.draining = time.Time{}
-	case l.draining.IsZero():
-		l.draining = now
+		l.drainStart = time.Time{}
+	case l.drainStart.IsZero():
+		l.drainStart = now
 	}
 }
 
-// expired returns the time since which a flow must have carried a packet to
-// go on. It lies after now once the limit of a drain has passed.
-func (l *limits) expired(now time.Time) time.Time {
+// idleCutoff returns the time before which a flow's last packet makes it expired.
+// Once a drain has reached its limit, the cutoff is after now, so that every flow
+// expires.
+func (l *flowLimits) idleCutoff(now time.Time) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.draining.IsZero() && l.drain > 0 && now.Sub(l.draining) >= l.drain {
-		return now.Add(l.drain)
+	if !l.drainStart.IsZero() && l.drainLimit > 0 && now.Sub(l.drainStart) >= l.drainLimit {
+		return now.Add(l.drainLimit)
 	}
-	return now.Add(-l.idle)
+	return now.Add(-l.idleTimeout)
 }
--- a/internal/role/agent/packets.go
+++ b/internal/role/agent/packets.go
@@ -14,28 +14,28 @@
 	"fulmarmount.org/fulmarmount/internal/packet"
 )
 
-// Stats counts what an agent did with packets.
+// Stats are the packet counters of an agent.
 type Stats struct {
 	Delivered           atomic.Uint64 // sent to the backend server
 	Replied             atomic.Uint64 // sent to a balancer
-	Rejected            atomic.Uint64 // envelopes that were forged, replayed or not for here
-	Failed              atomic.Uint64 // a socket did not take the packet
-	Oversize            atomic.Uint64 // a reply would not fit the MTU in an envelope
-	Relayed             atomic.Uint64 // sent on to another agent
-	UnresponsiveControl atomic.Uint64 // connections to control that went silent and were replaced
+	Rejected            atomic.Uint64 // envelopes that were forged, replayed or not addressed to this agent, and tunnels for another incarnation or service
+	Failed              atomic.Uint64 // sealing a packet, opening a socket or sending failed
+	Oversize            atomic.Uint64 // replies longer than an envelope of the MTU can carry
+	Relayed             atomic.Uint64 // relayed to another agent
+	UnresponsiveControl atomic.Uint64 // connections to control that became unresponsive and were replaced
 
 	ControlSent  atomic.Uint64 // messages about flow ownership to other agents
-	ControlBytes atomic.Uint64 // bytes of them, envelopes included
+	ControlBytes atomic.Uint64 // bytes of these messages, envelopes included
 }
 
 const (
 	// readBuffer is the length of the envelope buffer in bytes: the largest datagram.
 	readBuffer = 1 << 16
-	// sweepInterval is how often idle flows are looked for.
-	sweepInterval = time.Second
+	// expiryInterval is the interval at which idle flows are expired.
+	expiryInterval = time.Second
 )
 
-// readEnvelopes takes the envelopes of balancers and other agents.
+// readEnvelopes receives the envelopes of balancers and other agents.
 func (a *Agent) readEnvelopes() {
 	buf := make([]byte, readBuffer)
 	out := make([]byte, 0, readBuffer)
@@ -54,22 +54,23 @@
 		case packet.Forward:
 			a.receive(&header, payload, out)
 		case packet.Control:
-			a.receiveOwnership(&header, payload)
+			a.handleOwnershipMessage(&header, payload)
 		default:
 			a.stats.Rejected.Add(1)
 		}
 	}
 }
 
-// accepts reports whether an envelope is meant for this run of this service.
-func (a *Agent) accepts(h *packet.Header) bool {
-	return h.Flow.TargetIncarnation == a.options.Incarnation && h.Flow.Service == view.ServiceID(a.service.Load())
+// isAddressedHere reports whether an envelope is addressed to this incarnation of
+// the agent and to its service.
+func (a *Agent) isAddressedHere(h *packet.Header) bool {
+	return h.Flow.TargetIncarnation == a.options.Incarnation && h.Flow.Service == view.ServiceID(a.serviceID.Load())
 }
 
 // receive delivers a caller's datagram or relays it to the agent that may own
 // its flow.
 func (a *Agent) receive(h *packet.Header, payload, out []byte) {
-	switch action := a.owner.receive(&h.Flow); action.Verdict {
+	switch action := a.ownership.receive(&h.Flow); action.Verdict {
 	case flow.Deliver:
 		a.deliver(h, payload)
 	case flow.Relay:
@@ -91,17 +92,17 @@
 	a.stats.Relayed.Add(1)
 }
 
-// deliver sends one datagram to the backend server.
+// deliver sends a datagram to the backend server.
 func (a *Agent) deliver(h *packet.Header, payload []byte) {
 	tuple := h.Flow.Tuple
-	o, opened, err := a.flows.get(tuple, func() (*ownedFlow, error) { return a.dial(tuple) })
+	o, opened, err := a.sockets.getOrOpen(tuple, func() (*ownedFlow, error) { return a.openSocket(tuple) })
 	if err != nil {
 		a.stats.Failed.Add(1)
 		return
 	}
 	now := a.options.Now()
-	o.received(now, h.ReplyTo)
-	a.paths.MarkSeen(h.ReplyTo, now)
+	o.recordCallerPacket(now, h.ReplyTo)
+	a.returnPaths.MarkSeen(h.ReplyTo, now)
 	if opened {
 		service := h.Flow.Service
 		a.tasks.Go(func() { a.readBackend(o, service) })
@@ -113,7 +114,7 @@
 	a.stats.Delivered.Add(1)
 }
 
-func (a *Agent) dial(tuple flow.Tuple) (*ownedFlow, error) {
+func (a *Agent) openSocket(tuple flow.Tuple) (*ownedFlow, error) {
 	conn, err := net.DialUDP("udp4", nil, net.UDPAddrFromAddrPort(a.options.Backend))
 	if err != nil {
 		return nil, err
@@ -121,14 +122,15 @@
 	return &ownedFlow{tuple: tuple, id: tuple.ID(), conn: conn}, nil
 }
 
-// readBackend sends one flow's replies back until its socket is closed.
+// readBackend forwards the backend server's replies of a flow until the flow's
+// socket is closed.
 func (a *Agent) readBackend(o *ownedFlow, service view.ServiceID) {
 	buf := make([]byte, a.options.MTU)
 	out := make([]byte, 0, a.options.MTU+packet.MaxOverhead)
 	for {
 		n, err := o.conn.Read(buf)
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			// An ICMP error of an earlier send; the flow itself goes on.
+			// An ICMP error caused by an earlier send; the flow continues.
 			continue
 		}
 		if err != nil {
@@ -138,20 +140,21 @@
 	}
 }
 
-// reply sends one datagram through a balancer.
+// reply sends a datagram of the backend server to the caller through a balancer.
 func (a *Agent) reply(o *ownedFlow, service view.ServiceID, payload, out []byte) {
 	now := a.options.Now()
-	o.seen.Store(now.UnixNano())
-	a.owner.flows.Touch(a.owner.elapsed(), o.id)
-	last := o.lastInbound()
-	replyTo := a.paths.Choose(last.replyTo, last.at, now)
+	o.lastPacket.Store(now.UnixNano())
+	a.ownership.flows.Touch(a.ownership.elapsed(), o.id)
+	last := o.lastCallerPacket()
+	replyTo := a.returnPaths.Choose(last.replyTo, last.at, now)
 	header := packet.Header{
 		Kind:    packet.Reply,
 		ReplyTo: replyTo,
 		Flow:    flow.Packet{Service: service, TargetIncarnation: a.options.Incarnation, Tuple: o.tuple},
 	}
 	if len(payload) > header.MaxPayload(a.options.MTU) {
-		// The backend server's path MTU discovery settles below the limit.
+		// Dropping the datagram makes the backend server's path MTU discovery
+		// converge below the limit.
 		a.stats.Oversize.Add(1)
 		return
 	}
@@ -167,11 +170,12 @@
 	a.stats.Replied.Add(1)
 }
 
-// sweep ends idle flows, and those that a drain left too long, until ctx ends.
-func (a *Agent) sweep(ctx context.Context) {
-	pace.Every(ctx, sweepInterval, func() {
+// expireFlows closes idle flows, and the remaining flows at a drain's limit,
+// until ctx is done.
+func (a *Agent) expireFlows(ctx context.Context) {
+	pace.Every(ctx, expiryInterval, func() {
 		now := a.options.Now()
-		a.flows.expire(a.limits.expired(now), a.owner.flows.RemoveFlow)
-		a.paths.Expire(now)
+		a.sockets.closeIdle(a.limits.idleCutoff(now), a.ownership.flows.RemoveFlow)
+		a.returnPaths.Expire(now)
 	})
 }
--- a/internal/role/agent/pointers.go
+++ b/internal/role/agent/pointers.go
@@ -13,36 +13,37 @@
 	"fulmarmount.org/fulmarmount/internal/packet"
 )
 
-// pushInterval is how often pointers that are due are sent.
+// pushInterval is the interval at which due pointers are sent.
 const pushInterval = 50 * time.Millisecond
 
-// ownership is the payload of a packet.Control envelope between agents. One
-// field is set.
-type ownership struct {
+// ownershipMessage is the payload of a packet.Control envelope between agents.
+// Exactly one field is set.
+type ownershipMessage struct {
 	Batch *locator.Batch `cbor:"1,keyasint,omitempty"`
 	Ack   *locator.Ack   `cbor:"2,keyasint,omitempty"`
 }
 
-// push sends pointers that are due until ctx ends.
-func (a *Agent) push(ctx context.Context) {
-	turn := 0
+// pushPointers sends due pointers, and expires idle entries of the flow table, until
+// ctx is done.
+func (a *Agent) pushPointers(ctx context.Context) {
+	tick := 0
 	pace.Every(ctx, pushInterval, func() {
-		for _, m := range a.owner.pusher.Tick(a.owner.elapsed()) {
-			a.sendOwnership(m.To, ownership{Batch: &m.Batch})
+		for _, m := range a.ownership.pusher.Tick(a.ownership.elapsed()) {
+			a.sendOwnershipMessage(m.To, ownershipMessage{Batch: &m.Batch})
 		}
-		a.owner.flows.Sweep(a.owner.elapsed(), turn)
-		turn++
+		a.ownership.flows.Sweep(a.ownership.elapsed(), tick)
+		tick++
 	})
 }
 
-func (a *Agent) sendOwnership(to flow.Peer, o ownership) {
+func (a *Agent) sendOwnershipMessage(to flow.Peer, o ownershipMessage) {
 	payload, err := cbor.Marshal(o)
 	if err != nil {
 		a.stats.Failed.Add(1)
 		return
 	}
 	header := packet.Header{Kind: packet.Control, Flow: flow.Packet{
-		Service:           view.ServiceID(a.service.Load()),
+		Service:           view.ServiceID(a.serviceID.Load()),
 		TargetIncarnation: to.Incarnation,
 	}}
 	sealed, err := a.sealer.Seal(nil, &header, payload)
@@ -57,22 +58,22 @@
 	a.stats.ControlBytes.Add(uint64(len(sealed)))
 }
 
-// receiveOwnership takes a message of another agent of the service.
-func (a *Agent) receiveOwnership(h *packet.Header, payload []byte) {
-	var o ownership
-	if !a.accepts(h) || cbor.Unmarshal(payload, &o) != nil {
+// handleOwnershipMessage handles a message of another agent of the service.
+func (a *Agent) handleOwnershipMessage(h *packet.Header, payload []byte) {
+	var o ownershipMessage
+	if !a.isAddressedHere(h) || cbor.Unmarshal(payload, &o) != nil {
 		a.stats.Rejected.Add(1)
 		return
 	}
 	switch {
 	case o.Batch != nil:
 		b := o.Batch
-		a.owner.flows.StorePointers(a.owner.elapsed(), b.From, b.Owner, b.Flows)
+		a.ownership.flows.StorePointers(a.ownership.elapsed(), b.From, b.Owner, b.Flows)
 		if b.Sequence != 0 {
-			a.sendOwnership(b.From, ownership{Ack: &locator.Ack{Sequence: b.Sequence, From: a.owner.self}})
+			a.sendOwnershipMessage(b.From, ownershipMessage{Ack: &locator.Ack{Sequence: b.Sequence, From: a.ownership.self}})
 		}
 	case o.Ack != nil:
-		a.owner.flows.MarkResponsive(o.Ack.From)
-		a.owner.pusher.HandleAck(*o.Ack)
+		a.ownership.flows.MarkResponsive(o.Ack.From)
+		a.ownership.pusher.HandleAck(*o.Ack)
 	}
 }
--- a/internal/role/agent/succession.go
+++ b/internal/role/agent/succession.go
@@ -18,40 +18,42 @@
 )
 
 var (
-	errorsOfAgent = errorx.NewNamespace("agent")
-	// errSuccession is the type for state that cannot be left to a successor or
-	// taken over from a predecessor.
-	errSuccession = errorsOfAgent.NewType("succession")
+	errorNamespace = errorx.NewNamespace("agent")
+	// errHandoverState is the type of errors in saving the state for a successor or
+	// in restoring a predecessor's.
+	errHandoverState = errorNamespace.NewType("succession")
 )
 
 const (
-	// successionTime is how old a predecessor's state may be. Other agents pass
-	// over one that has been silent for longer, and may take its flows.
-	successionTime = time.Second
-	// sequenceGap keeps a successor's announcements beyond those that its
-	// predecessor had on the way.
+	// maxStateAge is the maximum age of a predecessor's state. Other agents skip an
+	// agent that has been unresponsive for longer, and may become owners of its
+	// flows.
+	maxStateAge = time.Second
+	// sequenceGap is added to the predecessor's last announcement number, so that a
+	// successor's announcements supersede those of its predecessor in flight.
 	sequenceGap = 1 << 20
-	// successionMode is the mode of the state file: its user alone reads it.
-	successionMode = 0o600
+	// stateFileMode makes the state file accessible only to its user.
+	stateFileMode = 0o600
 )
 
-// succession is what an agent leaves to the next process on its VM, which goes on
-// as the same run: its flows, the promises about others, and what is in force.
-type succession struct {
-	At          time.Time        `cbor:"1,keyasint"`
-	ID          string           `cbor:"2,keyasint"`
-	Incarnation view.Incarnation `cbor:"3,keyasint"`
-	Sequence    uint64           `cbor:"4,keyasint"`
-	Services    []proto.Service  `cbor:"5,keyasint"`
-	View        *view.View       `cbor:"6,keyasint"`
-	Entries     []flow.Record    `cbor:"7,keyasint"`
-	Sockets     []savedSocket    `cbor:"8,keyasint"`
-	Sessions    []packet.Session `cbor:"9,keyasint"`
+// handoverState is the state that a stopping agent saves for the next process on
+// its VM, which continues the same incarnation: its flows with their sockets, the
+// promises about other flows, and the active configuration and view.
+type handoverState struct {
+	At          time.Time         `cbor:"1,keyasint"`
+	ID          string            `cbor:"2,keyasint"`
+	Incarnation view.Incarnation  `cbor:"3,keyasint"`
+	Sequence    uint64            `cbor:"4,keyasint"`
+	Services    []proto.Service   `cbor:"5,keyasint"`
+	View        *view.View        `cbor:"6,keyasint"`
+	Entries     []flow.Record     `cbor:"7,keyasint"`
+	Sockets     []flowSocketState `cbor:"8,keyasint"`
+	Sessions    []packet.Session  `cbor:"9,keyasint"`
 }
 
-// savedSocket is the socket of one owned flow. The successor binds the same local
-// address, so the backend server sees no change.
-type savedSocket struct {
+// flowSocketState is the socket of an owned flow. The successor binds the same
+// local address, so the backend server sees no change.
+type flowSocketState struct {
 	Caller  netip.AddrPort `cbor:"1,keyasint"`
 	Service netip.AddrPort `cbor:"2,keyasint"`
 	Local   netip.AddrPort `cbor:"3,keyasint"`
@@ -59,9 +61,9 @@
 	Seen    int64          `cbor:"5,keyasint"` // Unix time in nanoseconds
 }
 
-// takeSuccession reads and removes the state that a predecessor has left at path.
-// It returns nil where there is none that can be used.
-func takeSuccession(o Options) *succession {
+// loadHandoverState reads and removes the state file of a predecessor. It returns
+// nil if there is no usable state.
+func loadHandoverState(o Options) *handoverState {
 	if o.HandoverPath == "" {
 		return nil
 	}
@@ -69,63 +71,63 @@
 	if os.IsNotExist(err) {
 		return nil
 	}
-	if removed := os.Remove(o.HandoverPath); err == nil {
-		err = removed // state that stays could be taken over twice
+	if removeErr := os.Remove(o.HandoverPath); err == nil {
+		err = removeErr // a state file that remains could be restored twice
 	}
-	s := &succession{}
+	s := &handoverState{}
 	if err == nil {
 		err = cbor.Unmarshal(data, s)
 	}
 	if err == nil {
-		err = s.check(o)
+		err = s.validate(o)
 	}
 	if err != nil {
-		o.Log.Warn("Does not take over from the predecessor.", zap.Error(err))
+		o.Log.Warn("Cannot use the predecessor's handover state; starting a new incarnation without its flows.", zap.Error(err))
 		return nil
 	}
 	return s
 }
 
-func (s *succession) check(o Options) error {
+func (s *handoverState) validate(o Options) error {
 	age := o.Now().Sub(s.At)
 	switch {
 	case s.ID != o.ID:
-		return errSuccession.New("state is of backend server %q, not %q", s.ID, o.ID)
-	case age < 0 || age > successionTime:
-		return errSuccession.New("state is %s old; it may be %s", age, successionTime)
+		return errHandoverState.New("handover state is of backend server %q, want %q", s.ID, o.ID)
+	case age < 0 || age > maxStateAge:
+		return errHandoverState.New("handover state is %s old, want 0 to %s", age, maxStateAge)
 	case s.View == nil:
-		return errSuccession.New("state has no view")
+		return errHandoverState.New("handover state contains no view")
 	}
 	return nil
 }
 
-// inherit goes on with what a predecessor has left. It runs before the first
-// packet.
-func (a *Agent) inherit(s *succession) {
+// restore restores a predecessor's state; nil is ignored. It runs before the
+// first packet is received.
+func (a *Agent) restore(s *handoverState) {
 	if s == nil {
 		return
 	}
-	a.sequence = s.Sequence + sequenceGap
+	a.sequenceBase = s.Sequence + sequenceGap
 	s.View.Prepare()
 	a.adopt(proto.Update{Services: s.Services, Views: []*view.View{s.View}})
-	a.owner.flows.Import(a.owner.elapsed(), s.Entries)
+	a.ownership.flows.Import(a.ownership.elapsed(), s.Entries)
 	if err := a.opener.Import(s.Sessions); err != nil {
-		a.options.Log.Error("Cannot take over the envelope sessions.", zap.Error(err))
+		a.options.Log.Error("Failed to import the predecessor's envelope sessions; envelopes that it received may be accepted again.", zap.Error(err))
 	}
-	lost := 0
+	failed := 0
 	for _, socket := range s.Sockets {
-		if err := a.inheritSocket(socket); err != nil {
-			lost++
-			a.options.Log.Warn("Cannot take over a flow.", zap.Stringer("caller", socket.Caller), zap.Error(err))
+		if err := a.restoreSocket(socket); err != nil {
+			failed++
+			a.options.Log.Warn("Failed to restore a flow of the predecessor; the flow is dropped.", zap.Stringer("caller", socket.Caller), zap.Error(err))
 		}
 	}
-	a.options.Log.Info("Took over from the predecessor.",
-		zap.Int("flows", len(s.Sockets)-lost), zap.Int("lost", lost), zap.Int("entries", len(s.Entries)))
+	a.options.Log.Info("Restored the predecessor's flows.",
+		zap.Int("flows", len(s.Sockets)-failed), zap.Int("lost", failed), zap.Int("entries", len(s.Entries)))
 }
 
-func (a *Agent) inheritSocket(s savedSocket) error {
+func (a *Agent) restoreSocket(s flowSocketState) error {
 	tuple := flow.Tuple{Caller: s.Caller, Service: s.Service}
-	o, _, err := a.flows.get(tuple, func() (*ownedFlow, error) {
+	o, _, err := a.sockets.getOrOpen(tuple, func() (*ownedFlow, error) {
 		local, backend := net.UDPAddrFromAddrPort(s.Local), net.UDPAddrFromAddrPort(a.options.Backend)
 		conn, err := net.DialUDP("udp4", local, backend)
 		if err != nil {
@@ -134,66 +136,67 @@
 		return &ownedFlow{tuple: tuple, id: tuple.ID(), conn: conn}, nil
 	})
 	if err != nil {
-		a.owner.flows.RemoveFlow(tuple.ID())
-		return errSuccession.Wrap(err, "open the socket at %s", s.Local)
+		a.ownership.flows.RemoveFlow(tuple.ID())
+		return errHandoverState.Wrap(err, "open a flow's socket at local address %s", s.Local)
 	}
-	o.received(time.Unix(0, s.Seen), s.ReplyTo)
-	a.owner.pusher.AddFlow(o.id)
-	service := view.ServiceID(a.service.Load())
+	o.recordCallerPacket(time.Unix(0, s.Seen), s.ReplyTo)
+	a.ownership.pusher.AddFlow(o.id)
+	service := view.ServiceID(a.serviceID.Load())
 	a.tasks.Go(func() { a.readBackend(o, service) })
 	return nil
 }
 
-// canBequeath reports whether a successor can go on as the same run: the service
-// has neither requests, whose records stay here, nor streams.
-func (a *Agent) canBequeath() bool {
-	return a.options.HandoverPath != "" && a.packetMode.Load() && !a.requests.Busy() && a.tunnels.Load() == 0 && a.owner.flows.View() != nil
+// canHandOver reports whether a successor can continue the same incarnation: the
+// service is in packet mode and no request or tunnel is open, as their state
+// stays in this process.
+func (a *Agent) canHandOver() bool {
+	return a.options.HandoverPath != "" && a.isPacketMode.Load() && !a.requests.Busy() && a.openTunnels.Load() == 0 && a.ownership.flows.View() != nil
 }
 
-// bequeath stops at once and leaves the flows to a successor. Packets on their way
-// are lost; callers send them again.
-func (a *Agent) bequeath() error {
+// handOver stops the agent at once and saves its flows for a successor. Packets in
+// flight are lost; callers retransmit them.
+func (a *Agent) handOver() error {
 	a.cancel()
 	if err := a.envelopes.SetDeadline(udp.LongAgo); err != nil {
-		return errorx.DecorateMany("agent does not stop", err, a.Close())
+		return errorx.DecorateMany("stop agent", err, a.Close())
 	}
-	a.envelopesRead.Wait()
+	a.envelopeReader.Wait()
 	now := a.options.Now()
-	s := succession{
-		At: now, ID: a.options.ID, Incarnation: a.options.Incarnation, Sequence: a.announced.Load(),
-		View: a.owner.flows.View(), Entries: a.owner.flows.Export(a.owner.elapsed()),
-		Sockets: a.flows.save(), Sessions: a.opener.Export(),
+	s := handoverState{
+		At: now, ID: a.options.ID, Incarnation: a.options.Incarnation, Sequence: a.lastSequence.Load(),
+		View: a.ownership.flows.View(), Entries: a.ownership.flows.Export(a.ownership.elapsed()),
+		Sockets: a.sockets.socketStates(), Sessions: a.opener.Export(),
 	}
-	if own := a.own.Load(); own != nil {
-		s.Services = []proto.Service{*own}
+	if config := a.serviceConfig.Load(); config != nil {
+		s.Services = []proto.Service{*config}
 	}
 	data, err := cbor.Marshal(s)
 	if err == nil {
-		err = os.WriteFile(a.options.HandoverPath, data, successionMode)
+		err = os.WriteFile(a.options.HandoverPath, data, stateFileMode)
 	}
 	if err != nil {
-		_ = os.Remove(a.options.HandoverPath) // a part of the state must not be taken over
-		err = errSuccession.Wrap(err, "leave %d flows to a successor", len(s.Sockets))
+		_ = os.Remove(a.options.HandoverPath) // an incomplete state must not be restored
+		err = errHandoverState.Wrap(err, "save %d flows for a successor", len(s.Sockets))
 	} else {
-		a.options.Log.Info("Left the flows to a successor.", zap.Int("flows", len(s.Sockets)), zap.Int("entries", len(s.Entries)))
+		a.options.Log.Info("Saved the flows for a successor.", zap.Int("flows", len(s.Sockets)), zap.Int("entries", len(s.Entries)))
 	}
-	return errorx.DecorateMany("agent does not stop", err, a.Close())
+	return errorx.DecorateMany("stop agent", err, a.Close())
 }
 
-// save returns the sockets of all flows.
-func (f *flows) save() []savedSocket {
-	var out []savedSocket
+// socketStates returns the states of all flows' sockets.
+func (f *flowSockets) socketStates() []flowSocketState {
+	var out []flowSocketState
 	for i := range f.shards {
 		s := &f.shards[i]
 		s.mu.Lock()
 		for tuple, o := range s.flows {
 			local, ok := o.conn.LocalAddr().(*net.UDPAddr)
 			if !ok {
-				continue // sockets of this package are all of UDP
+				continue // cannot happen: this package opens only UDP sockets
 			}
-			out = append(out, savedSocket{
+			out = append(out, flowSocketState{
 				Caller: tuple.Caller, Service: tuple.Service, Local: local.AddrPort(),
-				ReplyTo: o.lastInbound().replyTo, Seen: o.seen.Load(),
+				ReplyTo: o.lastCallerPacket().replyTo, Seen: o.lastPacket.Load(),
 			})
 		}
 		s.mu.Unlock()
--- a/internal/role/balancer/balancer.go
+++ b/internal/role/balancer/balancer.go
@@ -52,7 +52,7 @@
 	TLS func() *tls.Config
 	// Keys seal the envelopes.
 	Keys packet.Keys
-	// Session is a random number that identifies this process's envelopes.
+	// Session is a random number that identifies this balancer's envelopes.
 	Session uint64
 	// Now returns the current time.
 	Now func() time.Time
