--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,10 +1,11 @@
-// Package handover passes a process's sockets and state to its successor on
-// the same VM, so that a planned restart of a daemon breaks no flow. The two
-// meet on a unix socket that only their user can open.
+// Package handover transfers a process's sockets and state to its successor on
+// the same VM, so that a planned restart of a daemon interrupts no flow. The
+// successor connects to the predecessor's unix socket, which only their user can
+// open.
 //
-// The predecessor pauses, sends everything, and stops for good only once the
-// successor has confirmed that it holds it all. Where anything fails earlier,
-// the predecessor goes on as if nothing had happened.
+// The predecessor pauses, sends its bundle, and releases its sockets only once
+// the successor has confirmed the whole bundle. If any earlier step fails, the
+// predecessor resumes serving.
 package handover
 
 import (
@@ -15,30 +16,30 @@
 var (
 	Errors = errorx.NewNamespace("handover")
 
-	// ListenFailed: the predecessor's socket could not be opened.
+	// ListenFailed is the type of errors in opening the predecessor's unix socket.
 	ListenFailed = Errors.NewType("listen_failed")
-	// Failed: the handover did not take place.
+	// Failed is the type of errors that abort a handover.
 	Failed = Errors.NewType("failed")
 )
 
-// Item is one thing handed over: a socket, a piece of state, or both.
+// Item is a unit of a handover: a socket, state, or both.
 type Item struct {
-	// Role and Name tell whose item it is, such as "agent" and the backend
+	// Role and Name identify the item's owner, such as "agent" and the backend
 	// server's ID.
 	Role string
 	Name string
-	// Kind tells what it is among the role's items.
+	// Kind distinguishes the items of a role.
 	Kind string
 	// Body is state in the role's own encoding.
 	Body []byte
-	// Socket is a socket to pass; nil where the item is state alone.
+	// Socket is the socket to transfer; nil if the item consists of state only.
 	Socket Socket
 }
 
-// Bundle is all that one process hands over.
+// Bundle is the complete set of items that a process hands over.
 type Bundle []Item
 
-// Split parts the items of one role and name from the rest.
+// Split separates the items of one role and name from the rest.
 func (b Bundle) Split(role, name string) (own, rest Bundle) {
 	for _, item := range b {
 		if item.Role == role && item.Name == name {
@@ -50,7 +51,8 @@
 	return own, rest
 }
 
-// Close closes the sockets of items that nobody took.
+// Close closes the sockets of all items. It is for items that no role has
+// adopted.
 func (b Bundle) Close() {
 	for _, item := range b {
 		if item.Socket != nil {
@@ -59,14 +61,15 @@
 	}
 }
 
-// Predecessor is a process that can be succeeded. Its methods are called in
-// the order Pause, then either Resume or Leave.
+// Predecessor is a process, or a role of one, that can hand over to a successor.
+// Its methods are called in the order Pause, then either Resume or Release.
 type Predecessor interface {
-	// Pause stops reading and returns what there is to hand over. The sockets
-	// stay open until Leave.
+	// Pause stops reading from the sockets and returns the items to hand over. The
+	// sockets stay open until Release.
 	Pause() (Bundle, error)
-	// Resume goes on after a handover that failed.
+	// Resume resumes reading after a failed handover.
 	Resume()
-	// Release ends the process's part: the successor has everything.
+	// Release closes the sockets, once the successor has confirmed that it holds
+	// them.
 	Release()
 }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -10,23 +10,23 @@
 	"go.uber.org/zap"
 )
 
-// fake is a Predecessor that records what is asked of it.
-type fake struct {
+// fakePredecessor is a Predecessor that records the calls of its methods.
+type fakePredecessor struct {
 	bundle Bundle
-	// first is the error of the first Pause.
-	first error
-	calls []string
+	// firstPauseErr is the error that the first call of Pause returns.
+	firstPauseErr error
+	calls         []string
 }
 
-func (f *fake) Pause() (Bundle, error) {
+func (f *fakePredecessor) Pause() (Bundle, error) {
 	f.calls = append(f.calls, "pause")
-	if len(f.calls) == 1 && f.first != nil {
-		return nil, f.first
+	if len(f.calls) == 1 && f.firstPauseErr != nil {
+		return nil, f.firstPauseErr
 	}
 	return f.bundle, nil
 }
-func (f *fake) Resume()  { f.calls = append(f.calls, "resume") }
-func (f *fake) Release() { f.calls = append(f.calls, "leave") }
+func (f *fakePredecessor) Resume()  { f.calls = append(f.calls, "resume") }
+func (f *fakePredecessor) Release() { f.calls = append(f.calls, "release") }
 
 func listenUDP(t *testing.T) *net.UDPConn {
 	t.Helper()
@@ -38,93 +38,94 @@
 	return conn
 }
 
-func TestSuccessorReceivesSocketsStateAndWaitingDatagrams(t *testing.T) {
+func TestSuccessorReceivesSocketsStateAndQueuedDatagrams(t *testing.T) {
 	is := is.New(t)
 	path := filepath.Join(t.TempDir(), "handover")
 	const sockets = 2*maxItems + 1
-	f := &fake{}
+	predecessor := &fakePredecessor{}
 	caller := listenUDP(t)
 	for i := range sockets {
 		conn := listenUDP(t)
-		_, err := caller.WriteTo(fmt.Appendf(nil, "waiting %d", i), conn.LocalAddr())
+		_, err := caller.WriteTo(fmt.Appendf(nil, "queued %d", i), conn.LocalAddr())
 		is.NoErr(err)
-		f.bundle = append(f.bundle, Item{Role: "agent", Name: "host", Kind: "flow", Body: fmt.Append(nil, i), Socket: conn})
+		predecessor.bundle = append(predecessor.bundle, Item{Role: "agent", Name: "host", Kind: "flow", Body: fmt.Append(nil, i), Socket: conn})
 	}
-	f.bundle = append(f.bundle, Item{Role: "agent", Name: "other", Kind: "state", Body: make([]byte, maxBodies)})
-	s, err := Listen(path, f, zap.NewNop())
+	predecessor.bundle = append(predecessor.bundle, Item{Role: "agent", Name: "other", Kind: "state", Body: make([]byte, maxBodyBytes)})
+	s, err := Listen(path, predecessor, zap.NewNop())
 	is.NoErr(err)
 
 	bundle, err := Receive(path)
 	is.NoErr(err)
 	defer bundle.Close()
 	is.NoErr(s.Close())
-	is.Equal(f.calls, []string{"pause", "leave"})
-	for _, item := range f.bundle {
+	is.Equal(predecessor.calls, []string{"pause", "release"})
+	for _, item := range predecessor.bundle {
 		if item.Socket != nil {
 			is.NoErr(item.Socket.Close())
 		}
 	}
-	flows, rest := bundle.Split("agent", "host")
-	is.Equal(len(flows), sockets)
+	own, rest := bundle.Split("agent", "host")
+	is.Equal(len(own), sockets)
 	is.Equal(len(rest), 1)
-	is.Equal(len(rest[0].Body), maxBodies)
+	is.Equal(len(rest[0].Body), maxBodyBytes)
 	buf := make([]byte, 32)
-	for i, item := range flows {
+	for i, item := range own {
 		is.Equal(string(item.Body), fmt.Sprint(i))
 		n, _, err := item.Socket.(*net.UDPConn).ReadFrom(buf)
 		is.NoErr(err)
-		is.Equal(string(buf[:n]), fmt.Sprintf("waiting %d", i))
+		is.Equal(string(buf[:n]), fmt.Sprintf("queued %d", i))
 	}
 }
 
-func TestPredecessorGoesOnWhereAHandoverFails(t *testing.T) {
-	refused := Failed.New("cannot pause")
+func TestPredecessorResumesAfterAFailedHandover(t *testing.T) {
+	errPause := Failed.New("cannot pause")
 	cases := []struct {
-		name string
-		fake *fake
-		run  func(conn *net.UnixConn)
+		name        string
+		predecessor *fakePredecessor
+		// successor acts on the successor's connection until it is closed.
+		successor func(conn *net.UnixConn)
 	}{
-		{"pause fails", &fake{first: refused}, func(*net.UnixConn) {}},
-		{"successor ends before it has confirmed", &fake{}, func(conn *net.UnixConn) {
-			_, _, _ = receive(conn, make([]byte, maxDatagram))
+		{"pause fails", &fakePredecessor{firstPauseErr: errPause}, func(*net.UnixConn) {}},
+		{"successor closes before it confirms", &fakePredecessor{}, func(conn *net.UnixConn) {
+			_, _, _ = receiveMessage(conn, make([]byte, maxMessageBytes))
 		}},
-		{"successor sends something else", &fake{}, func(conn *net.UnixConn) {
-			_, _, _ = receive(conn, make([]byte, maxDatagram))
+		{"successor sends an invalid message", &fakePredecessor{}, func(conn *net.UnixConn) {
+			_, _, _ = receiveMessage(conn, make([]byte, maxMessageBytes))
 			_, _ = conn.Write([]byte("no"))
 		}},
-		{"successor does not confirm", &fake{}, func(conn *net.UnixConn) {
-			_, _, _ = receive(conn, make([]byte, maxDatagram))
-			_ = send(conn, message{}, nil)
+		{"successor sends a message without confirmation", &fakePredecessor{}, func(conn *net.UnixConn) {
+			_, _, _ = receiveMessage(conn, make([]byte, maxMessageBytes))
+			_ = sendMessage(conn, message{}, nil)
 		}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			path := filepath.Join(t.TempDir(), "handover")
-			s, err := Listen(path, c.fake, zap.NewNop())
+			s, err := Listen(path, c.predecessor, zap.NewNop())
 			is.NoErr(err)
 			conn, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: path, Net: "unixpacket"})
 			is.NoErr(err)
-			c.run(conn)
+			c.successor(conn)
 			is.NoErr(conn.Close())
 
-			// The next successor finds a predecessor that is whole.
+			// The predecessor can still hand over to the next successor.
 			_, err = Receive(path)
 			is.NoErr(err)
 			is.NoErr(s.Close())
-			is.Equal(c.fake.calls, []string{"pause", "resume", "pause", "leave"})
+			is.Equal(c.predecessor.calls, []string{"pause", "resume", "pause", "release"})
 		})
 	}
 }
 
-func TestNoPredecessorIsNoError(t *testing.T) {
+func TestReceiveWithoutPredecessorReturnsNoError(t *testing.T) {
 	is := is.New(t)
 	path := filepath.Join(t.TempDir(), "handover")
 	bundle, err := Receive(path)
 	is.NoErr(err)
 	is.Equal(len(bundle), 0)
 
-	s, err := Listen(path, &fake{}, zap.NewNop())
+	s, err := Listen(path, &fakePredecessor{}, zap.NewNop())
 	is.NoErr(err)
 	is.NoErr(s.Close())
 	bundle, err = Receive(path)
--- a/internal/handover/server.go
+++ b/internal/handover/server.go
@@ -11,11 +11,11 @@
 	"go.uber.org/zap"
 )
 
-// exchangeLimit bounds a whole handover; the predecessor stands still for at
-// most that long.
-const exchangeLimit = 5 * time.Second
+// handoverTimeout limits the exchange of messages in a handover, and thus the
+// time for which the predecessor is paused.
+const handoverTimeout = 5 * time.Second
 
-// Server waits for the successor of this process.
+// Server hands this process over to a successor that connects.
 type Server struct {
 	listener    *net.UnixListener
 	predecessor Predecessor
@@ -23,8 +23,8 @@
 	tasks       sync.WaitGroup
 }
 
-// Listen opens the socket at path and serves one successor. A socket file that
-// an ended process left behind is replaced.
+// Listen opens the unix socket at path and serves successors until a handover
+// succeeds. It replaces the stale socket file of an earlier process.
 func Listen(path string, p Predecessor, log *zap.Logger) (*Server, error) {
 	if err := os.Remove(path); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return nil, ListenFailed.Wrap(err, "remove the stale socket %q", path)
@@ -33,18 +33,19 @@
 	if err != nil {
 		return nil, ListenFailed.Wrap(err, "listen on %q", path)
 	}
-	// The successor opens a socket of its own at the same path.
+	// The file is not removed on Close, as the successor opens its own socket at
+	// the same path.
 	l.SetUnlinkOnClose(false)
 	if err := os.Chmod(path, 0o600); err != nil {
 		_ = l.Close()
-		return nil, ListenFailed.Wrap(err, "protect %q", path)
+		return nil, ListenFailed.Wrap(err, "restrict the permissions of %q", path)
 	}
 	s := &Server{listener: l, predecessor: p, log: log}
 	s.tasks.Go(s.serve)
 	return s, nil
 }
 
-// Close stops waiting.
+// Close closes the socket and waits for a handover in progress to end.
 func (s *Server) Close() error {
 	err := s.listener.Close()
 	s.tasks.Wait()
@@ -63,70 +64,72 @@
 		err = s.handOver(conn)
 		_ = conn.Close()
 		if err == nil {
-			s.log.Info("Handed over to the successor.")
+			s.log.Info("Handed this process's sockets and state over to the successor.")
 			_ = s.listener.Close()
 			return
 		}
-		s.log.Warn("A handover failed. This process goes on.", zap.Error(err))
+		s.log.Warn("Handover failed; this process resumes serving.", zap.Error(err))
 	}
 }
 
-// handOver sends everything to a successor and leaves once it has confirmed.
+// handOver sends the bundle to a successor and releases the predecessor once the
+// successor has confirmed.
 func (s *Server) handOver(conn *net.UnixConn) error {
-	if err := conn.SetDeadline(time.Now().Add(exchangeLimit)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(handoverTimeout)); err != nil {
 		return Failed.Wrap(err, "set the deadline")
 	}
 	bundle, err := s.predecessor.Pause()
 	if err == nil {
-		err = exchange(conn, bundle)
+		err = sendBundle(conn, bundle)
 	}
 	if err != nil {
 		s.predecessor.Resume()
 		return err
 	}
 	s.predecessor.Release()
-	// The successor may have ended meanwhile, which changes nothing here: it
-	// has confirmed, so its own start decides.
-	_ = send(conn, message{Confirmed: true}, nil)
+	// An error is ignored: the successor has confirmed, so the handover is
+	// complete even if it has exited since.
+	_ = sendMessage(conn, message{Confirmed: true}, nil)
 	return nil
 }
 
-// exchange sends a bundle and waits for the confirmation.
-func exchange(conn *net.UnixConn, bundle Bundle) error {
+// sendBundle sends a bundle and waits for the successor's confirmation.
+func sendBundle(conn *net.UnixConn, bundle Bundle) error {
 	for len(bundle) > 0 {
-		n := batch(bundle)
-		if err := send(conn, message{Items: headers(bundle[:n])}, bundle[:n]); err != nil {
+		n := batchLength(bundle)
+		if err := sendMessage(conn, message{Items: itemHeaders(bundle[:n])}, bundle[:n]); err != nil {
 			return err
 		}
 		bundle = bundle[n:]
 	}
-	if err := send(conn, message{Last: true}, nil); err != nil {
+	if err := sendMessage(conn, message{Last: true}, nil); err != nil {
 		return err
 	}
-	m, extra, err := receive(conn, make([]byte, maxDatagram))
+	m, extra, err := receiveMessage(conn, make([]byte, maxMessageBytes))
 	if err != nil {
 		return err
 	}
 	extra.Close()
 	if !m.Confirmed {
-		return Failed.New("successor did not confirm")
+		return Failed.New("successor's message is no confirmation of the bundle")
 	}
 	return nil
 }
 
-// batch returns how many of the first items fit one message, at least one.
-func batch(bundle Bundle) int {
+// batchLength returns the number of leading items that fit into one message, at
+// least one.
+func batchLength(bundle Bundle) int {
 	size := 0
 	for i, item := range bundle {
 		size += len(item.Body)
-		if i > 0 && (i == maxItems || size > maxBodies) {
+		if i > 0 && (i == maxItems || size > maxBodyBytes) {
 			return i
 		}
 	}
 	return len(bundle)
 }
 
-func headers(items Bundle) []itemHeader {
+func itemHeaders(items Bundle) []itemHeader {
 	out := make([]itemHeader, len(items))
 	for i, item := range items {
 		out[i] = itemHeader{
--- a/internal/handover/take.go
+++ b/internal/handover/take.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// Receive asks the process that listens at path to hand over. It returns nil where
-// there is no such process. An error means that the predecessor, if it lives,
-// goes on.
+// Receive requests a handover from the process that listens at path and returns
+// its bundle. It returns nil if no process listens. After an error, the
+// predecessor, if it is alive, resumes serving.
 func Receive(path string) (Bundle, error) {
 	conn, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: path, Net: "unixpacket"})
 	if errors.Is(err, fs.ErrNotExist) || errors.Is(err, syscall.ECONNREFUSED) {
@@ -20,10 +20,10 @@
 		return nil, Failed.Wrap(err, "connect to %q", path)
 	}
 	defer func() { _ = conn.Close() }()
-	if err := conn.SetDeadline(time.Now().Add(exchangeLimit)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(handoverTimeout)); err != nil {
 		return nil, Failed.Wrap(err, "set the deadline")
 	}
-	bundle, err := take(conn)
+	bundle, err := receiveBundle(conn)
 	if err != nil {
 		bundle.Close()
 		return nil, err
@@ -31,12 +31,13 @@
 	return bundle, nil
 }
 
-// take receives a bundle and confirms it. It returns what it holds in any case.
-func take(conn *net.UnixConn) (Bundle, error) {
+// receiveBundle receives a bundle and confirms it. With an error, it returns the
+// items received so far, for the caller to close.
+func receiveBundle(conn *net.UnixConn) (Bundle, error) {
 	var bundle Bundle
-	buf := make([]byte, maxDatagram)
+	buf := make([]byte, maxMessageBytes)
 	for {
-		m, items, err := receive(conn, buf)
+		m, items, err := receiveMessage(conn, buf)
 		if err != nil {
 			return bundle, err
 		}
@@ -45,16 +46,16 @@
 			break
 		}
 	}
-	if err := send(conn, message{Confirmed: true}, nil); err != nil {
+	if err := sendMessage(conn, message{Confirmed: true}, nil); err != nil {
 		return bundle, err
 	}
-	m, extra, err := receive(conn, buf)
+	m, extra, err := receiveMessage(conn, buf)
 	extra.Close()
 	if err != nil {
 		return bundle, err
 	}
 	if !m.Confirmed {
-		return bundle, Failed.New("predecessor did not leave")
+		return bundle, Failed.New("predecessor's message is no confirmation of its release")
 	}
 	return bundle, nil
 }
--- a/internal/handover/wire.go
+++ b/internal/handover/wire.go
@@ -9,20 +9,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// Socket is a socket whose descriptor can be passed: a connection of package
-// net.
+// Socket is a socket whose descriptor can be transferred: a connection or
+// listener of package net.
 type Socket interface {
 	syscall.Conn
 	Close() error
 }
 
-// message is one datagram of the handover. Each item that has a socket stands
-// for the next descriptor that came with the datagram.
+// message is a datagram of the handover. The items with a socket correspond, in
+// order, to the descriptors sent with the datagram.
 type message struct {
 	Items []itemHeader `cbor:"1,keyasint,omitempty"`
 	// Last marks the end of the bundle.
 	Last bool `cbor:"2,keyasint,omitempty"`
-	// Confirmed is the successor's word that it holds the whole bundle.
+	// Confirmed is set by the successor once it holds the whole bundle, and by the
+	// predecessor once it has released its sockets.
 	Confirmed bool `cbor:"3,keyasint,omitempty"`
 }
 
@@ -35,23 +36,24 @@
 }
 
 const (
-	// maxItems bounds the items in one datagram; the kernel passes at most
-	// 253 descriptors at once.
+	// maxItems limits the items in one datagram; the kernel transfers at most 253
+	// descriptors at once.
 	maxItems = 128
-	// maxBodies bounds the state in one datagram, in bytes.
-	maxBodies = 64 << 10
-	// maxDatagram is the length of a receive buffer in bytes.
-	maxDatagram = 128 << 10
+	// maxBodyBytes limits the state in a datagram of more than one item, in bytes.
+	maxBodyBytes = 64 << 10
+	// maxMessageBytes is the maximum length of a datagram, and the length of a
+	// receive buffer, in bytes.
+	maxMessageBytes = 128 << 10
 )
 
-// send writes one message with the descriptors of its items.
-func send(conn *net.UnixConn, m message, items Bundle) error {
+// sendMessage sends a message with the descriptors of its items.
+func sendMessage(conn *net.UnixConn, m message, items Bundle) error {
 	body, err := cbor.Marshal(m)
 	if err != nil {
 		return Failed.Wrap(err, "encode a message of %d items", len(m.Items))
 	}
-	if len(body) > maxDatagram {
-		return Failed.New("message of %d bytes is longer than %d", len(body), maxDatagram)
+	if len(body) > maxMessageBytes {
+		return Failed.New("encoded message of %d bytes exceeds the limit of %d bytes", len(body), maxMessageBytes)
 	}
 	return withDescriptors(items, nil, func(fds []int) error {
 		var oob []byte
@@ -65,9 +67,9 @@
 	})
 }
 
-// withDescriptors calls f with the descriptors of the items that have one. It
-// holds all of them at once, so that none is closed and reused meanwhile. It
-// does not use os.File, which would turn the sockets to blocking mode.
+// withDescriptors calls f with the descriptors of the items that have a socket.
+// All sockets stay locked during the call, so that no descriptor is closed and
+// reused. It does not use os.File, which would set the sockets to blocking mode.
 func withDescriptors(items Bundle, fds []int, f func([]int) error) error {
 	if len(items) == 0 {
 		return f(fds)
@@ -88,21 +90,21 @@
 	return inner
 }
 
-// receive reads one message and makes its items.
-func receive(conn *net.UnixConn, buf []byte) (message, Bundle, error) {
+// receiveMessage receives a message and its items.
+func receiveMessage(conn *net.UnixConn, buf []byte) (message, Bundle, error) {
 	oob := make([]byte, unix.CmsgSpace(4*maxItems))
 	n, oobn, flags, _, err := conn.ReadMsgUnix(buf, oob)
 	if err != nil {
 		return message{}, nil, Failed.Wrap(err, "receive a message")
 	}
-	files, err := descriptors(oob[:oobn])
+	files, err := parseDescriptors(oob[:oobn])
 	if err != nil {
 		return message{}, nil, err
 	}
 	var m message
 	if flags&(unix.MSG_TRUNC|unix.MSG_CTRUNC) != 0 {
 		closeFiles(files)
-		return m, nil, Failed.New("a message of more than %d bytes or %d descriptors was cut", len(buf), maxItems)
+		return m, nil, Failed.New("message was truncated: it exceeds %d bytes or %d descriptors", len(buf), maxItems)
 	}
 	if err := cbor.Unmarshal(buf[:n], &m); err != nil {
 		closeFiles(files)
@@ -112,7 +114,7 @@
 	return m, items, err
 }
 
-func descriptors(oob []byte) ([]*os.File, error) {
+func parseDescriptors(oob []byte) ([]*os.File, error) {
 	messages, err := unix.ParseSocketControlMessage(oob)
 	if err != nil {
 		return nil, Failed.Wrap(err, "parse control messages")
@@ -132,8 +134,8 @@
 	return files, nil
 }
 
-// bundle pairs the items of m with the files that came with it. It closes the
-// files.
+// bundle pairs the items of m with the files of the descriptors received with it.
+// It closes the files.
 func (m *message) bundle(files []*os.File) (Bundle, error) {
 	defer closeFiles(files)
 	var out Bundle
@@ -143,9 +145,9 @@
 		if h.HasSocket {
 			if next == len(files) {
 				out.Close()
-				return nil, Failed.New("message has %d descriptors, fewer than its items", len(files))
+				return nil, Failed.New("message has %d descriptors, fewer than its items with a socket", len(files))
 			}
-			s, err := socket(files[next])
+			s, err := newSocket(files[next])
 			if err != nil {
 				out.Close()
 				return nil, Failed.Wrap(err, "socket %q of %s %q", h.Kind, h.Role, h.Name)
@@ -158,8 +160,8 @@
 	return out, nil
 }
 
-// socket makes a connection or listener of package net of a descriptor.
-func socket(f *os.File) (Socket, error) {
+// newSocket converts a descriptor to a connection or listener of package net.
+func newSocket(f *os.File) (Socket, error) {
 	if pc, err := net.FilePacketConn(f); err == nil {
 		return pc.(Socket), nil
 	}
