--- a/internal/node/succession.go
+++ b/internal/node/succession.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// onLeave adds a function that Leave calls first.
+// onLeave adds a function that Release calls first.
 func (s *Succession) onLeave(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,15 +70,15 @@
 	s.paused = 0
 }
 
-// Leave implements handover.Predecessor.
-func (s *Succession) Leave() {
+// Release implements handover.Predecessor.
+func (s *Succession) Release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, f := range s.release {
 		f()
 	}
 	for _, r := range s.roles {
-		r.Leave()
+		r.Release()
 	}
 	close(s.left)
 }
