--- a/internal/group/group.go
+++ b/internal/group/group.go
@@ -114,10 +114,10 @@
 		Self: g.self, Pool: o.Pool, Receive: g.receive, Identity: g.identity, Admit: g.admit, Now: o.Now, Log: o.Log,
 	})
 	switch {
-	case replica.Blank(s) && len(o.Peers) > 1:
+	case replica.IsEmpty(s) && len(o.Peers) > 1:
 		o.Log.Info("Replica belongs to no cluster yet.", zap.Stringer("replica", g.self.ID))
 		g.running.Go(func() { g.found(ctx) })
-	case replica.Blank(s) && len(o.Peers) == 0 && o.Seeds != nil:
+	case replica.IsEmpty(s) && len(o.Peers) == 0 && o.Seeds != nil:
 		o.Log.Info("Replica waits to be added to a cluster.", zap.Stringer("replica", g.self.ID))
 		err = g.start()
 	default:
@@ -146,7 +146,7 @@
 
 // startAlone starts a replica that has a cluster or founds one of its own.
 func (g *Group) startAlone() error {
-	if replica.Blank(g.store) {
+	if replica.IsEmpty(g.store) {
 		if err := replica.Bootstrap(g.store, clusterID(g.options.Cluster, g.self.ID), g.self); err != nil {
 			return err
 		}
--- a/internal/group/group_test.go
+++ b/internal/group/group_test.go
@@ -246,7 +246,7 @@
 	is.True(g.RemoveReplica(context.Background(), g.self.ID.String()) != nil) // the last voter
 	is.NoErr(g.Stop(context.Background()))
 	_, err = g.Propose(context.Background(), []byte("b"))
-	is.True(errorx.IsOfType(err, replica.Stopped))
+	is.True(errorx.IsOfType(err, replica.ErrStopped))
 }
 
 var _ admin.Replicas = (*Group)(nil)
--- a/internal/group/keep.go
+++ b/internal/group/keep.go
@@ -68,9 +68,9 @@
 	defer cancel()
 	var err error
 	if c.Op == quorum.PromoteLearner {
-		err = n.Promote(ctx, c.Member.ID)
+		err = n.PromoteLearner(ctx, c.Member.ID)
 	} else {
-		err = n.Remove(ctx, c.Member.ID)
+		err = n.RemoveMember(ctx, c.Member.ID)
 	}
 	fields := []zap.Field{
 		zap.Stringer("change", c.Op), zap.Stringer("replica", c.Member.ID),
--- a/internal/group/members.go
+++ b/internal/group/members.go
@@ -74,7 +74,7 @@
 	if err != nil {
 		return err
 	}
-	return n.Remove(ctx, quorum.ReplicaID(number))
+	return n.RemoveMember(ctx, quorum.ReplicaID(number))
 }
 
 // leading returns the replica if it leads, else an error that names the leader.
@@ -88,9 +88,9 @@
 		return n, nil
 	}
 	if leader, ok := status.Membership.Find(status.Leader); ok {
-		return nil, replica.NotLeader.New("the leader is %s at %s", leader.Name, leader.Address)
+		return nil, replica.ErrNotLeader.New("the leader is %s at %s", leader.Name, leader.Address)
 	}
-	return nil, replica.NotLeader.New("no leader is known")
+	return nil, replica.ErrNotLeader.New("no leader is known")
 }
 
 // Dump is the state of the replica for the process's dump.
--- a/internal/group/recover.go
+++ b/internal/group/recover.go
@@ -23,8 +23,8 @@
 // newReplica runs a replica with what a store holds.
 func (g *Group) newReplica(s store) (*replica.Node, error) {
 	return replica.Start(replica.Options{
-		Store: s, Machine: g.options.Machine, Transport: g.link,
-		Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), Tick: g.options.Tick, Log: g.options.Log,
+		Store: s, StateMachine: g.options.Machine, Transport: g.link,
+		Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), TickInterval: g.options.Tick, Log: g.options.Log,
 	})
 }
 
@@ -50,7 +50,7 @@
 		if !g.reopen(ctx) {
 			return
 		}
-		n.Retire()
+		n.NotifyReplaced()
 	}
 }
 
--- a/internal/replica/bench_test.go
+++ b/internal/replica/bench_test.go
@@ -79,7 +79,7 @@
 			b.Fatal(err)
 		}
 		n, err := Start(Options{
-			Store: s, Machine: sink{}, Transport: d, Ticks: ticks, Rand: rand.New(rand.NewPCG(1, uint64(s.Replica()))),
+			Store: s, StateMachine: sink{}, Transport: d, Ticks: ticks, Rand: rand.New(rand.NewPCG(1, uint64(s.Replica()))),
 		})
 		if err != nil {
 			b.Fatal(err)
--- a/internal/replica/cluster_test.go
+++ b/internal/replica/cluster_test.go
@@ -137,8 +137,8 @@
 	id := s.Replica()
 	ticks, state := make(chan time.Time), &register{}
 	n, err := Start(Options{
-		Store: s, Machine: state, Transport: c, Ticks: ticks, CallTimeout: time.Hour,
-		Rand: rand.New(rand.NewPCG(uint64(id), 1)), SnapshotEntries: 20, KeepEntries: 5,
+		Store: s, StateMachine: state, Transport: c, Ticks: ticks, CallTimeout: time.Hour,
+		Rand: rand.New(rand.NewPCG(uint64(id), 1)), SnapshotEntries: 20, TrailingEntries: 5,
 	})
 	if err != nil {
 		c.t.Fatal(err)
--- a/internal/replica/membership.go
+++ b/internal/replica/membership.go
@@ -18,11 +18,11 @@
 
 // Counters count since the start.
 type Counters struct {
-	Proposals uint64 `json:"proposals"`
-	Applied   uint64 `json:"applied"`
-	Reads     uint64 `json:"reads"`
-	Snapshots uint64 `json:"snapshots"`
-	Refused   uint64 `json:"refused_messages"`
+	Proposals        uint64 `json:"proposals"`
+	Applied          uint64 `json:"applied"`
+	Reads            uint64 `json:"reads"`
+	Snapshots        uint64 `json:"snapshots"`
+	RejectedMessages uint64 `json:"refused_messages"`
 }
 
 // Status returns the replica's state, the last one if it has ended.
@@ -58,7 +58,7 @@
 	}
 	n.log.Info("Leader changed.", zap.Stringer("leader", soft.Leader), zap.Uint64("term", soft.Term))
 	if before.Leader != 0 {
-		n.failProposals(OutcomeUnknown.New("the leader of term %d is no longer known to lead", before.Term))
+		n.failProposals(ErrOutcomeUnknown.New("the leader of term %d is no longer known to lead", before.Term))
 	}
 	for number, r := range n.reads {
 		if r.index == 0 {
@@ -67,9 +67,9 @@
 	}
 }
 
-// Retire wakes those who wait for news of a replica that has ended, since another
+// NotifyReplaced wakes those who wait for news of a replica that has ended, since another
 // run has taken its place.
-func (n *Node) Retire() { n.membersChanged() }
+func (n *Node) NotifyReplaced() { n.membersChanged() }
 
 // membersChanged wakes those who look for the leader's address: it stands in the
 // membership.
@@ -86,13 +86,13 @@
 	return n.change(ctx, quorum.ConfChange{Op: quorum.AddLearner, Member: member})
 }
 
-// Promote lets a learner that has caught up vote.
-func (n *Node) Promote(ctx context.Context, id quorum.ReplicaID) error {
+// PromoteLearner lets a learner that has caught up vote.
+func (n *Node) PromoteLearner(ctx context.Context, id quorum.ReplicaID) error {
 	return n.change(ctx, quorum.ConfChange{Op: quorum.PromoteLearner, Member: quorum.Member{ID: id}})
 }
 
-// Remove removes a replica for good.
-func (n *Node) Remove(ctx context.Context, id quorum.ReplicaID) error {
+// RemoveMember removes a replica for good.
+func (n *Node) RemoveMember(ctx context.Context, id quorum.ReplicaID) error {
 	return n.change(ctx, quorum.ConfChange{Op: quorum.RemoveMember, Member: quorum.Member{ID: id}})
 }
 
@@ -100,7 +100,7 @@
 	_, err := n.propose(ctx, func(number uint64) error {
 		err := n.core.ProposeChange(number, c)
 		if errorx.IsOfType(err, quorum.ErrNotLeader) {
-			return NotLeader.Wrap(err, "cannot %s", c.Op)
+			return ErrNotLeader.Wrap(err, "cannot %s", c.Op)
 		}
 		return err
 	})
@@ -127,9 +127,9 @@
 		select {
 		case <-changed:
 		case <-n.done:
-			return Stopped.New("the replica ended")
+			return ErrStopped.New("the replica ended")
 		case <-ctx.Done():
-			return OutcomeUnknown.Wrap(ctx.Err(), "leadership did not move in time")
+			return ErrOutcomeUnknown.Wrap(ctx.Err(), "leadership did not move in time")
 		}
 	}
 }
@@ -162,7 +162,7 @@
 // refused counts a message that the core did not take. A replica that lost
 // what it acknowledged must not go on.
 func (n *Node) refused(m quorum.Message, err error) {
-	n.counters.Refused++
+	n.counters.RejectedMessages++
 	if errorx.IsOfType(err, quorum.ErrLogRolledBack) {
 		n.broken = err
 		return
--- a/internal/replica/node.go
+++ b/internal/replica/node.go
@@ -13,21 +13,21 @@
 
 // Options configure a Node.
 type Options struct {
-	Store     Store
-	Machine   StateMachine
-	Transport Transport
+	Store        Store
+	StateMachine StateMachine
+	Transport    Transport
 	// Rand draws election timeouts and the numbers of proposals.
 	Rand *rand.Rand
-	// Tick is the unit of the replica's time; zero stands for TickInterval.
-	Tick time.Duration
+	// TickInterval is the unit of the replica's time; zero stands for TickInterval.
+	TickInterval time.Duration
 	// Ticks advances the replica's time; nil ticks every Tick.
 	Ticks <-chan time.Time
 	// CallTimeout bounds calls whose context has no earlier end.
 	CallTimeout time.Duration
 	// SnapshotEntries is the number of applied entries between snapshots.
 	SnapshotEntries uint64
-	// KeepEntries is the number of entries kept behind a snapshot.
-	KeepEntries uint64
+	// TrailingEntries is the number of entries kept behind a snapshot.
+	TrailingEntries uint64
 	// Log may be nil.
 	Log *zap.Logger
 }
@@ -35,7 +35,7 @@
 // Defaults of Options. With ten ticks per election timeout, a new leader is
 // found within about two seconds.
 const (
-	TickInterval           = 100 * time.Millisecond
+	DefaultTickInterval    = 100 * time.Millisecond
 	defaultCallTimeout     = 10 * time.Second
 	defaultSnapshotEntries = 4096
 	defaultKeepEntries     = 1024
@@ -76,8 +76,8 @@
 	setDefaults(&o)
 	state := o.Store.State()
 	if len(state.Snapshot.Data) > 0 {
-		if err := o.Machine.Restore(state.Snapshot.Data); err != nil {
-			return nil, Machine.Wrap(err, "snapshot %d does not restore", state.Snapshot.Index)
+		if err := o.StateMachine.Restore(state.Snapshot.Data); err != nil {
+			return nil, ErrStateMachine.Wrap(err, "snapshot %d does not restore", state.Snapshot.Index)
 		}
 	}
 	core, err := quorum.New(quorum.Config{
@@ -108,11 +108,11 @@
 	if o.SnapshotEntries == 0 {
 		o.SnapshotEntries = defaultSnapshotEntries
 	}
-	if o.KeepEntries == 0 {
-		o.KeepEntries = defaultKeepEntries
+	if o.TrailingEntries == 0 {
+		o.TrailingEntries = defaultKeepEntries
 	}
-	if o.Tick == 0 {
-		o.Tick = TickInterval
+	if o.TickInterval == 0 {
+		o.TickInterval = DefaultTickInterval
 	}
 	if o.Log == nil {
 		o.Log = zap.NewNop()
@@ -154,7 +154,7 @@
 	}
 	ticks := n.options.Ticks
 	if ticks == nil {
-		ticker := time.NewTicker(n.options.Tick)
+		ticker := time.NewTicker(n.options.TickInterval)
 		defer ticker.Stop()
 		ticks = ticker.C
 	}
@@ -251,21 +251,21 @@
 func (n *Node) restore(s quorum.Snapshot) error {
 	// The first snapshot of a cluster holds a membership and no state.
 	if len(s.Data) > 0 {
-		if err := n.options.Machine.Restore(s.Data); err != nil {
-			return Machine.Wrap(err, "snapshot %d does not restore", s.Index)
+		if err := n.options.StateMachine.Restore(s.Data); err != nil {
+			return ErrStateMachine.Wrap(err, "snapshot %d does not restore", s.Index)
 		}
 	}
 	n.applied, n.snapshot = s.Index, s.Index
 	n.membersChanged()
 	// Their entries may lie within the snapshot, and their results with them.
-	n.failProposals(OutcomeUnknown.New("a snapshot replaced the log up to entry %d", s.Index))
+	n.failProposals(ErrOutcomeUnknown.New("a snapshot replaced the log up to entry %d", s.Index))
 	return nil
 }
 
 func (n *Node) apply(e quorum.Entry) {
 	var result []byte
 	if e.Kind == quorum.EntryCommand {
-		result = n.options.Machine.Apply(e.Index, e.Data)
+		result = n.options.StateMachine.Apply(e.Index, e.Data)
 	}
 	if e.Kind == quorum.EntryChange {
 		n.membersChanged()
@@ -283,19 +283,19 @@
 	if n.applied < n.snapshot+n.options.SnapshotEntries {
 		return nil
 	}
-	state, err := n.options.Machine.Snapshot()
+	state, err := n.options.StateMachine.Snapshot()
 	if err != nil {
-		return Machine.Wrap(err, "no snapshot at entry %d", n.applied)
+		return ErrStateMachine.Wrap(err, "no snapshot at entry %d", n.applied)
 	}
 	snapshot, err := n.core.Snapshot(n.applied, state)
 	if err != nil {
 		return err
 	}
-	first := snapshot.Index + 1 - min(snapshot.Index, n.options.KeepEntries)
+	first := snapshot.Index + 1 - min(snapshot.Index, n.options.TrailingEntries)
 	if err := n.options.Store.Compact(snapshot, first); err != nil {
 		return err
 	}
-	n.core.Compact(snapshot, n.options.KeepEntries)
+	n.core.Compact(snapshot, n.options.TrailingEntries)
 	n.snapshot = snapshot.Index
 	n.counters.Snapshots++
 	n.log.Info("Took a snapshot.", zap.Uint64("index", snapshot.Index), zap.Int("bytes", len(state)))
@@ -337,12 +337,12 @@
 	n.mu.Unlock()
 	// Whoever acts as the leader's process must not go on.
 	n.leaderChanged(quorum.SoftState{Term: n.last.Term})
-	n.failProposals(OutcomeUnknown.New("the replica ended"))
+	n.failProposals(ErrOutcomeUnknown.New("the replica ended"))
 	for _, p := range n.waiting {
-		p.finish(nil, Stopped.New("the replica ended"))
+		p.finish(nil, ErrStopped.New("the replica ended"))
 	}
 	for number, r := range n.reads {
 		delete(n.reads, number)
-		r.done <- Stopped.New("the replica ended")
+		r.done <- ErrStopped.New("the replica ended")
 	}
 }
--- a/internal/replica/node_test.go
+++ b/internal/replica/node_test.go
@@ -27,7 +27,7 @@
 	is.True(n.Status().Counters.Snapshots > 0)
 	is.NoErr(n.Stop(context.Background()))
 	_, err := n.Propose(context.Background(), encode(1))
-	is.True(errorx.IsOfType(err, Stopped))
+	is.True(errorx.IsOfType(err, ErrStopped))
 }
 
 func TestFollowersForward(t *testing.T) {
@@ -82,7 +82,7 @@
 	is.NoErr(c.set(leader, 1))
 	is.NoErr(leader.call(context.Background(), func() { leader.options.Store.(*failingStore).broken = true }))
 	err := c.set(leader, 2)
-	is.True(isOneOf(err, OutcomeUnknown, Stopped))
+	is.True(isOneOf(err, ErrOutcomeUnknown, ErrStopped))
 	<-leader.Done()
 	is.True(leader.Err() != nil)
 	c.kill(leader.options.Store.Replica())
@@ -110,7 +110,7 @@
 	}
 	cancel()
 	for range 2 {
-		is.True(isOneOf(<-errs, OutcomeUnknown, NotRun, Unconfirmed))
+		is.True(isOneOf(<-errs, ErrOutcomeUnknown, ErrNotProposed, ErrReadUnconfirmed))
 	}
 	is.Equal(c.states[old.options.Store.Replica()].get(), uint64(1))
 }
@@ -128,10 +128,10 @@
 	learner := c.start(fresh)
 	member := quorum.Member{ID: fresh.Replica(), Name: "vm-3"}
 	leader := c.leader()
-	is.True(errorx.IsOfType(learner.AddLearner(ctx, member), NotLeader))
+	is.True(errorx.IsOfType(learner.AddLearner(ctx, member), ErrNotLeader))
 	is.NoErr(c.wait("add", func() error { return leader.AddLearner(ctx, member) }))
-	c.until("promotion", func() bool { return leader.Promote(ctx, member.ID) == nil })
-	is.NoErr(c.wait("remove", func() error { return leader.Remove(ctx, lost) }))
+	c.until("promotion", func() bool { return leader.PromoteLearner(ctx, member.ID) == nil })
+	is.NoErr(c.wait("remove", func() error { return leader.RemoveMember(ctx, lost) }))
 	c.kill(leader.options.Store.Replica()) // a second loss right after
 	is.NoErr(c.set(c.leader(), 100))
 	is.NoErr(c.wait("read", func() error { return learner.ReadIndex(ctx) }))
--- a/internal/replica/ports.go
+++ b/internal/replica/ports.go
@@ -39,8 +39,8 @@
 	return s.Save(quorum.Ready{HardState: &hard, Snapshot: &snapshot, MustSync: true})
 }
 
-// Blank reports whether a store belongs to no cluster yet.
-func Blank(s Store) bool {
+// IsEmpty reports whether a store belongs to no cluster yet.
+func IsEmpty(s Store) bool {
 	state := s.State()
 	return state.Snapshot.Index == 0 && len(state.Entries) == 0
 }
--- a/internal/replica/propose.go
+++ b/internal/replica/propose.go
@@ -44,7 +44,7 @@
 	}
 	// The loop tells whether the proposal had been sent.
 	if err := n.call(context.WithoutCancel(ctx), func() { n.giveUp(p, ctx.Err()) }); err != nil {
-		return nil, OutcomeUnknown.Wrap(ctx.Err(), "no answer in time")
+		return nil, ErrOutcomeUnknown.Wrap(ctx.Err(), "no answer in time")
 	}
 	o := <-p.done
 	return o.result, o.err
@@ -56,9 +56,9 @@
 	select {
 	case n.calls <- func() { f(); close(ran) }:
 	case <-n.done:
-		return Stopped.New("the replica ended")
+		return ErrStopped.New("the replica ended")
 	case <-ctx.Done():
-		return NotRun.Wrap(ctx.Err(), "the replica did not take the call in time")
+		return ErrNotProposed.Wrap(ctx.Err(), "the replica did not take the call in time")
 	}
 	<-ran // the loop runs what it has taken
 	return nil
@@ -84,7 +84,7 @@
 	n.waiting = nil
 	for _, p := range waiting {
 		if err := p.ctx.Err(); err != nil {
-			p.finish(nil, NotRun.Wrap(err, "no leader in time"))
+			p.finish(nil, ErrNotProposed.Wrap(err, "no leader in time"))
 			continue
 		}
 		n.submit(p)
@@ -96,14 +96,14 @@
 	for i := range n.waiting {
 		if n.waiting[i] == p {
 			n.waiting = append(n.waiting[:i], n.waiting[i+1:]...)
-			p.finish(nil, NotRun.Wrap(cause, "no leader in time"))
+			p.finish(nil, ErrNotProposed.Wrap(cause, "no leader in time"))
 			return
 		}
 	}
 	for number := range n.proposals {
 		if n.proposals[number] == p {
 			delete(n.proposals, number)
-			p.finish(nil, OutcomeUnknown.Wrap(cause, "no answer in time"))
+			p.finish(nil, ErrOutcomeUnknown.Wrap(cause, "no answer in time"))
 			return
 		}
 	}
--- a/internal/replica/read.go
+++ b/internal/replica/read.go
@@ -31,14 +31,14 @@
 		n.ask(number)
 	})
 	if err != nil {
-		return Unconfirmed.Wrap(err, "read was not started")
+		return ErrReadUnconfirmed.Wrap(err, "read was not started")
 	}
 	select {
 	case err := <-r.done:
 		return err
 	case <-ctx.Done():
 		_ = n.call(context.WithoutCancel(ctx), func() { delete(n.reads, number) })
-		return Unconfirmed.Wrap(ctx.Err(), "no majority confirmed the leader in time")
+		return ErrReadUnconfirmed.Wrap(ctx.Err(), "no majority confirmed the leader in time")
 	}
 }
 
