--- a/internal/replica/bench_test.go
+++ b/internal/replica/bench_test.go
@@ -16,24 +16,25 @@
 	"fulmarmount.org/fulmarmount/internal/disk"
 )
 
-// sink is a state machine that keeps nothing.
-type sink struct{}
+// discardStateMachine is a state machine without state.
+type discardStateMachine struct{}
 
-func (sink) Apply(uint64, []byte) []byte { return nil }
-func (sink) Snapshot() ([]byte, error)   { return []byte{0}, nil }
-func (sink) Restore([]byte) error        { return nil }
+func (discardStateMachine) Apply(uint64, []byte) []byte { return nil }
+func (discardStateMachine) Snapshot() ([]byte, error)   { return []byte{0}, nil }
+func (discardStateMachine) Restore([]byte) error        { return nil }
 
-// direct hands messages over and counts the bytes of their entries.
-type direct struct {
-	nodes map[quorum.ReplicaID]*Node
-	bytes atomic.Int64
+// directTransport delivers messages synchronously and counts the bytes of their
+// entries.
+type directTransport struct {
+	nodes      map[quorum.ReplicaID]*Node
+	entryBytes atomic.Int64
 }
 
 // Send implements Transport.
-func (d *direct) Send(to quorum.Member, messages []quorum.Message) {
+func (d *directTransport) Send(to quorum.Member, messages []quorum.Message) {
 	for i := range messages {
 		for _, e := range messages[i].Entries {
-			d.bytes.Add(int64(len(e.Data)))
+			d.entryBytes.Add(int64(len(e.Data)))
 		}
 	}
 	d.nodes[to.ID].Receive(messages)
@@ -41,28 +42,28 @@
 
 const benchCommandBytes = 256
 
-// BenchmarkPropose measures whole commits with real syncs: one replica and
-// three on one disk, with clients that each wait for their answer.
-// FULMARMOUNT_BENCH_FOLDER sets the folder, and so the disk.
+// BenchmarkPropose measures commits end to end, including disk syncs, with one
+// replica and with three on one disk. Each client has one proposal outstanding.
+// FULMARMOUNT_BENCH_FOLDER selects the folder and thereby the disk.
 func BenchmarkPropose(b *testing.B) {
 	for _, replicas := range []int{1, 3} {
 		for _, clients := range []int{1, 16, 128} {
 			b.Run(fmt.Sprintf("replicas=%d/clients=%d", replicas, clients), func(b *testing.B) {
-				leader, d := startBench(b, replicas)
+				leader, d := startBenchCluster(b, replicas)
 				benchPropose(b, leader, clients)
-				b.ReportMetric(float64(d.bytes.Load())/float64(b.N), "sent-B/commit")
+				b.ReportMetric(float64(d.entryBytes.Load())/float64(b.N), "sent-B/commit")
 			})
 		}
 	}
 }
 
-func startBench(b *testing.B, replicas int) (*Node, *direct) {
+func startBenchCluster(b *testing.B, replicas int) (*Node, *directTransport) {
 	folder, err := os.MkdirTemp(os.Getenv("FULMARMOUNT_BENCH_FOLDER"), "propose")
 	if err != nil {
 		b.Fatal(err)
 	}
 	b.Cleanup(func() { _ = os.RemoveAll(folder) })
-	d := &direct{nodes: map[quorum.ReplicaID]*Node{}}
+	d := &directTransport{nodes: map[quorum.ReplicaID]*Node{}}
 	var stores []*disk.Store
 	var members []quorum.Member
 	for i := range replicas {
@@ -73,20 +74,20 @@
 		stores = append(stores, s)
 		members = append(members, quorum.Member{ID: s.Replica()})
 	}
-	ticks := make(chan time.Time) // none before all nodes are known
+	ticks := make(chan time.Time) // never ticks: no node may send before d.nodes is complete
 	for _, s := range stores {
 		if err := Bootstrap(s, 7, members...); err != nil {
 			b.Fatal(err)
 		}
 		n, err := Start(Options{
-			Store: s, StateMachine: sink{}, Transport: d, Ticks: ticks, Rand: rand.New(rand.NewPCG(1, uint64(s.Replica()))),
+			Store: s, StateMachine: discardStateMachine{}, Transport: d, Ticks: ticks, Rand: rand.New(rand.NewPCG(1, uint64(s.Replica()))),
 		})
 		if err != nil {
 			b.Fatal(err)
 		}
 		d.nodes[s.Replica()] = n
 		b.Cleanup(func() {
-			close(n.stop)
+			close(n.stopRequested)
 			<-n.done
 			_ = s.Close()
 		})
@@ -96,21 +97,21 @@
 		if soft, _ := leader.Leader(); soft.Role == quorum.Leader {
 			return leader, d
 		}
-		_ = leader.call(context.Background(), leader.core.Tick)
+		_ = leader.runInLoop(context.Background(), leader.raft.Tick)
 	}
 }
 
 func benchPropose(b *testing.B, leader *Node, clients int) {
 	latencies := make([]*hdrhistogram.Histogram, clients)
-	var left atomic.Int64
-	left.Store(int64(b.N))
+	var remaining atomic.Int64
+	remaining.Store(int64(b.N))
 	done := make(chan error, clients)
 	b.ResetTimer()
 	for i := range clients {
 		latencies[i] = hdrhistogram.New(1, int64(time.Minute), 3)
 		go func() {
 			command := make([]byte, benchCommandBytes)
-			for left.Add(-1) >= 0 {
+			for remaining.Add(-1) >= 0 {
 				start := time.Now()
 				if _, err := leader.Propose(context.Background(), command); err != nil {
 					done <- err
--- a/internal/replica/cluster_test.go
+++ b/internal/replica/cluster_test.go
@@ -13,24 +13,24 @@
 	"fulmarmount.org/fulmarmount/internal/disk"
 )
 
-// register is a state machine of one number: a command sets it and is answered
-// with the earlier one.
+// register is a state machine with a single number: a command sets it and returns
+// the previous one.
 type register struct {
-	mu    sync.Mutex
-	value uint64
-	log   []uint64
+	mu            sync.Mutex
+	value         uint64
+	appliedValues []uint64
 }
 
 func (r *register) Apply(_ uint64, command []byte) []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	before := r.value
+	previous := r.value
 	r.value = binary.BigEndian.Uint64(command)
-	r.log = append(r.log, r.value)
-	return encode(before)
+	r.appliedValues = append(r.appliedValues, r.value)
+	return encode(previous)
 }
 
-func (r *register) Snapshot() ([]byte, error) { return encode(r.get()), nil }
+func (r *register) Snapshot() ([]byte, error) { return encode(r.current()), nil }
 
 func (r *register) Restore(b []byte) error {
 	r.mu.Lock()
@@ -39,7 +39,7 @@
 	return nil
 }
 
-func (r *register) get() uint64 {
+func (r *register) current() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.value
@@ -47,62 +47,62 @@
 
 func encode(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
-// failingStore fails every save once broken is set.
+// failingStore fails every save once failSaves is set.
 type failingStore struct {
 	Store
-	broken bool
+	failSaves bool
 }
 
 func (s *failingStore) Save(rd quorum.Ready) error {
-	if s.broken {
+	if s.failSaves {
 		return errors.New("input/output error")
 	}
 	return s.Store.Save(rd)
 }
 
-// cluster is nodes joined by an in-memory transport that loses messages.
+// cluster connects nodes by an in-memory transport that can lose messages.
 type cluster struct {
-	t      *testing.T
-	mu     sync.Mutex
-	rnd    *rand.Rand
-	loss   float64
-	nodes  map[quorum.ReplicaID]*Node
-	ticks  map[quorum.ReplicaID]chan time.Time
-	states map[quorum.ReplicaID]*register
-	cut    map[quorum.ReplicaID]bool
-	now    int
-	timers []timer
-}
-
-// timer calls f once the cluster has ticked at times.
+	t            *testing.T
+	mu           sync.Mutex
+	rng          *rand.Rand
+	lossRate     float64
+	nodes        map[quorum.ReplicaID]*Node
+	ticks        map[quorum.ReplicaID]chan time.Time
+	registers    map[quorum.ReplicaID]*register
+	isolated     map[quorum.ReplicaID]bool
+	elapsedTicks int
+	timers       []timer
+}
+
+// timer calls f once the cluster has ticked atTick times.
 type timer struct {
-	at int
-	f  func()
+	atTick int
+	f      func()
 }
 
-func (c *cluster) after(ticks int, f func()) {
+func (c *cluster) afterTicks(ticks int, f func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.timers = append(c.timers, timer{c.now + ticks, f})
+	c.timers = append(c.timers, timer{c.elapsedTicks + ticks, f})
 }
 
 // Send implements Transport.
 func (c *cluster) Send(to quorum.Member, messages []quorum.Message) {
 	c.mu.Lock()
 	node := c.nodes[to.ID]
-	lost := c.rnd.Float64() < c.loss || c.cut[to.ID] || c.cut[messages[0].From]
+	lost := c.rng.Float64() < c.lossRate || c.isolated[to.ID] || c.isolated[messages[0].From]
 	c.mu.Unlock()
 	if node != nil && !lost {
 		node.Receive(messages)
 	}
 }
 
-// newCluster starts as many voters as there are stores.
+// newCluster starts one voter per store.
 func newCluster(t *testing.T, stores ...Store) *cluster {
 	c := &cluster{
-		t: t, rnd: rand.New(rand.NewPCG(1, 1)), cut: map[quorum.ReplicaID]bool{},
+		t: t, rng: rand.New(rand.NewPCG(1, 1)), isolated: map[quorum.ReplicaID]bool{},
 		nodes: map[quorum.ReplicaID]*Node{}, ticks: map[quorum.ReplicaID]chan time.Time{},
-		states: map[quorum.ReplicaID]*register{},
+		registers: map[quorum.ReplicaID]*register{},
 	}
 	var members []quorum.Member
 	for _, s := range stores {
@@ -135,9 +135,9 @@
 
 func (c *cluster) start(s Store) *Node {
 	id := s.Replica()
-	ticks, state := make(chan time.Time), &register{}
+	ticks, machine := make(chan time.Time), &register{}
 	n, err := Start(Options{
-		Store: s, StateMachine: state, Transport: c, Ticks: ticks, CallTimeout: time.Hour,
+		Store: s, StateMachine: machine, Transport: c, Ticks: ticks, CallTimeout: time.Hour,
 		Rand: rand.New(rand.NewPCG(uint64(id), 1)), SnapshotEntries: 20, TrailingEntries: 5,
 	})
 	if err != nil {
@@ -145,11 +145,11 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.nodes[id], c.ticks[id], c.states[id] = n, ticks, state
+	c.nodes[id], c.ticks[id], c.registers[id] = n, ticks, machine
 	return n
 }
 
-// kill ends a node without a handover.
+// kill stops a node without a leadership transfer.
 func (c *cluster) kill(id quorum.ReplicaID) {
 	c.mu.Lock()
 	n := c.nodes[id]
@@ -158,30 +158,30 @@
 	select {
 	case <-n.done:
 	default:
-		close(n.stop)
+		close(n.stopRequested)
 		<-n.done
 	}
 }
 
-// maxTicks bounds the waits, in ticks rather than in time.
-const maxTicks = 20000
+// maxWaitTicks bounds waits in ticks, independent of the machine's speed.
+const maxWaitTicks = 20000
 
-// until lets time pass until done.
-func (c *cluster) until(what string, done func() bool) {
+// tickUntil ticks all nodes until isDone returns true.
+func (c *cluster) tickUntil(event string, isDone func() bool) {
 	c.t.Helper()
-	for range maxTicks {
-		if done() {
+	for range maxWaitTicks {
+		if isDone() {
 			return
 		}
 		c.tick()
 	}
-	c.t.Fatalf("%s: not after %d ticks", what, maxTicks)
+	c.t.Fatalf("%s: not completed within %d ticks", event, maxWaitTicks)
 }
 
 func (c *cluster) tick() {
 	c.mu.Lock()
-	c.now++
-	for len(c.timers) > 0 && c.timers[0].at <= c.now {
+	c.elapsedTicks++
+	for len(c.timers) > 0 && c.timers[0].atTick <= c.elapsedTicks {
 		c.timers[0].f()
 		c.timers = c.timers[1:]
 	}
@@ -198,13 +198,13 @@
 	}
 }
 
-func (c *cluster) leader() *Node {
+func (c *cluster) awaitLeader() *Node {
 	var leader *Node
-	c.until("a leader", func() bool {
+	c.tickUntil("leader election", func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		for id, n := range c.nodes {
-			if soft, _ := n.Leader(); soft.Role == quorum.Leader && !c.cut[id] {
+			if soft, _ := n.Leader(); soft.Role == quorum.Leader && !c.isolated[id] {
 				leader = n
 			}
 		}
@@ -213,24 +213,24 @@
 	return leader
 }
 
-func (c *cluster) follower() *Node {
-	leader := c.leader()
+func (c *cluster) awaitFollower() *Node {
+	leader := c.awaitLeader()
 	for _, n := range c.nodes {
 		if n != leader {
 			return n
 		}
 	}
-	c.t.Fatal("no follower")
+	c.t.Fatal("cluster has no follower")
 	return nil
 }
 
-// wait runs f while time passes.
-func (c *cluster) wait(what string, f func() error) error {
+// tickDuring ticks all nodes until f returns.
+func (c *cluster) tickDuring(call string, f func() error) error {
 	c.t.Helper()
 	done := make(chan error, 1)
 	go func() { done <- f() }()
 	var err error
-	c.until(what, func() bool {
+	c.tickUntil(call, func() bool {
 		select {
 		case err = <-done:
 			return true
@@ -241,9 +241,9 @@
 	return err
 }
 
-func (c *cluster) set(n *Node, value uint64) error {
+func (c *cluster) proposeValue(n *Node, value uint64) error {
 	c.t.Helper()
-	return c.wait("set", func() error {
+	return c.tickDuring("proposal", func() error {
 		_, err := n.Propose(context.Background(), encode(value))
 		return err
 	})
--- a/internal/replica/doc.go
+++ b/internal/replica/doc.go
@@ -1,7 +1,7 @@
-// Package replica runs one replica of the replicated log: one goroutine feeds
-// core/quorum from a transport, a durable store and a ticker, and applies
-// committed commands to a state machine.
+// Package replica runs one replica of the replicated log. A single goroutine, the
+// event loop, passes ticks and received messages to core/quorum, saves its state in
+// a store, sends its messages and applies committed commands to a state machine.
 //
-// A store that fails ends the replica: it acknowledges nothing more,
-// and Done is closed.
+// After a failed write to the store, the replica acknowledges nothing more and
+// stops: the channel of Node.Done is closed.
 package replica
--- a/internal/replica/errors.go
+++ b/internal/replica/errors.go
@@ -6,18 +6,20 @@
 var Errors = errorx.NewNamespace("replica")
 
 var (
-	// ErrOutcomeUnknown says that the command may have run or may run yet. Send it again
-	// with the same request ID.
+	// ErrOutcomeUnknown reports that the command may have been applied or may still be
+	// applied. A retry must use the same request ID.
 	ErrOutcomeUnknown = Errors.NewType("outcome_unknown", errorx.Temporary())
-	// ErrNotProposed says that nothing was proposed, since no leader was known until the
-	// call's end.
+	// ErrNotProposed reports that nothing was proposed: before the call ended, no
+	// leader accepted proposals or the event loop was busy.
 	ErrNotProposed = Errors.NewType("not_run", errorx.Temporary())
-	// ErrReadUnconfirmed says that no majority confirmed that a read would be current.
+	// ErrReadUnconfirmed reports that the read index was not confirmed by a majority, so
+	// that a read could be stale.
 	ErrReadUnconfirmed = Errors.NewType("unconfirmed", errorx.Temporary())
-	// ErrNotLeader refuses a membership change on a replica that does not lead.
+	// ErrNotLeader rejects a membership change on a replica that is not the leader.
 	ErrNotLeader = Errors.NewType("not_leader", errorx.Temporary())
-	// ErrStopped says that the replica has ended.
+	// ErrStopped reports that the replica has stopped.
 	ErrStopped = Errors.NewType("stopped", errorx.Temporary())
-	// ErrStateMachine reports a state machine that could not be saved or restored.
+	// ErrStateMachine reports that the state machine failed to create or restore a
+	// snapshot.
 	ErrStateMachine = Errors.NewType("machine")
 )
--- a/internal/replica/membership.go
+++ b/internal/replica/membership.go
@@ -16,7 +16,7 @@
 	Counters Counters
 }
 
-// Counters count since the start.
+// Counters counts events since the replica started.
 type Counters struct {
 	Proposals        uint64 `json:"proposals"`
 	Applied          uint64 `json:"applied"`
@@ -25,95 +25,95 @@
 	RejectedMessages uint64 `json:"refused_messages"`
 }
 
-// Status returns the replica's state, the last one if it has ended.
+// Status returns the replica's state, or its final state if it has stopped.
 func (n *Node) Status() Status {
 	var s Status
-	if err := n.call(context.Background(), func() { s = n.status() }); err != nil {
+	if err := n.runInLoop(context.Background(), func() { s = n.status() }); err != nil {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		return n.last
+		return n.finalStatus
 	}
 	return s
 }
 
-func (n *Node) status() Status { return Status{Status: n.core.Status(), Counters: n.counters} }
+func (n *Node) status() Status { return Status{Status: n.raft.Status(), Counters: n.counters} }
 
-// Leader returns who leads in which term, and a channel that is closed when
-// that changes.
+// Leader returns the current leader, term and role, and a channel that is closed when
+// they or the membership change.
 func (n *Node) Leader() (quorum.SoftState, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.soft, n.changed
+	return n.softState, n.changed
 }
 
-func (n *Node) leaderChanged(soft quorum.SoftState) {
+func (n *Node) updateSoftState(soft quorum.SoftState) {
 	n.mu.Lock()
-	before := n.soft
-	n.soft = soft
+	previous := n.softState
+	n.softState = soft
 	close(n.changed)
 	n.changed = make(chan struct{})
 	n.mu.Unlock()
-	if soft.Leader == before.Leader && soft.Term == before.Term {
+	if soft.Leader == previous.Leader && soft.Term == previous.Term {
 		return
 	}
 	n.log.Info("Leader changed.", zap.Stringer("leader", soft.Leader), zap.Uint64("term", soft.Term))
-	if before.Leader != 0 {
-		n.failProposals(ErrOutcomeUnknown.New("the leader of term %d is no longer known to lead", before.Term))
+	if previous.Leader != 0 {
+		n.failSubmittedProposals(ErrOutcomeUnknown.New("the leader of term %d was lost before the entry was applied", previous.Term))
 	}
-	for number, r := range n.reads {
+	for id, r := range n.pendingReads {
 		if r.index == 0 {
-			n.ask(number)
+			n.requestReadIndex(id)
 		}
 	}
 }
 
-// NotifyReplaced wakes those who wait for news of a replica that has ended, since another
-// run has taken its place.
-func (n *Node) NotifyReplaced() { n.membersChanged() }
+// NotifyReplaced closes the channel that Leader returned, after another Node has
+// replaced this stopped one, so that its observers switch to the new Node.
+func (n *Node) NotifyReplaced() { n.notifyWaiters() }
 
-// membersChanged wakes those who look for the leader's address: it stands in the
-// membership.
-func (n *Node) membersChanged() {
+// notifyWaiters closes the channel that Leader returned. It is called when the
+// membership changes, which contains the leader's address.
+func (n *Node) notifyWaiters() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
 
-// AddLearner adds a replica that receives the log and does not vote. The
-// membership changes below succeed on the leader only.
+// AddLearner adds a replica that receives the log and does not vote. Like all
+// membership changes, it succeeds on the leader only.
 func (n *Node) AddLearner(ctx context.Context, member quorum.Member) error {
-	return n.change(ctx, quorum.ConfChange{Op: quorum.AddLearner, Member: member})
+	return n.proposeChange(ctx, quorum.ConfChange{Op: quorum.AddLearner, Member: member})
 }
 
-// PromoteLearner lets a learner that has caught up vote.
+// PromoteLearner makes a learner that has caught up a voter.
 func (n *Node) PromoteLearner(ctx context.Context, id quorum.ReplicaID) error {
-	return n.change(ctx, quorum.ConfChange{Op: quorum.PromoteLearner, Member: quorum.Member{ID: id}})
+	return n.proposeChange(ctx, quorum.ConfChange{Op: quorum.PromoteLearner, Member: quorum.Member{ID: id}})
 }
 
-// RemoveMember removes a replica for good.
+// RemoveMember removes a replica permanently.
 func (n *Node) RemoveMember(ctx context.Context, id quorum.ReplicaID) error {
-	return n.change(ctx, quorum.ConfChange{Op: quorum.RemoveMember, Member: quorum.Member{ID: id}})
+	return n.proposeChange(ctx, quorum.ConfChange{Op: quorum.RemoveMember, Member: quorum.Member{ID: id}})
 }
 
-func (n *Node) change(ctx context.Context, c quorum.ConfChange) error {
-	_, err := n.propose(ctx, func(number uint64) error {
-		err := n.core.ProposeChange(number, c)
+func (n *Node) proposeChange(ctx context.Context, c quorum.ConfChange) error {
+	_, err := n.propose(ctx, func(requestID uint64) error {
+		err := n.raft.ProposeChange(requestID, c)
 		if errorx.IsOfType(err, quorum.ErrNotLeader) {
-			return ErrNotLeader.Wrap(err, "cannot %s", c.Op)
+			return ErrNotLeader.Wrap(err, "cannot propose the membership change %s", c.Op)
 		}
 		return err
 	})
 	return err
 }
 
-// TransferLeadership hands leadership to another voter and returns once this
-// replica no longer leads.
+// TransferLeadership transfers leadership to another voter. It returns once this
+// replica is no longer the leader.
 func (n *Node) TransferLeadership(ctx context.Context, to quorum.ReplicaID) error {
 	ctx, cancel := context.WithTimeout(ctx, n.options.CallTimeout)
 	defer cancel()
 	var err error
-	if callErr := n.call(ctx, func() { err = n.core.TransferLeadership(to) }); callErr != nil {
+	if callErr := n.runInLoop(ctx, func() { err = n.raft.TransferLeadership(to) }); callErr != nil {
 		return callErr
 	}
 	if err != nil {
@@ -127,18 +127,19 @@
 		select {
 		case <-changed:
 		case <-n.done:
-			return ErrStopped.New("the replica ended")
+			return ErrStopped.New("replica stopped during the leadership transfer")
 		case <-ctx.Done():
-			return ErrOutcomeUnknown.Wrap(ctx.Err(), "leadership did not move in time")
+			return ErrOutcomeUnknown.Wrap(ctx.Err(), "leadership transfer did not complete in time")
 		}
 	}
 }
 
-// handOverLimit bounds the transfer at a graceful stop.
-const handOverLimit = 2 * time.Second
+// transferOnStopTimeout bounds the leadership transfer during Stop.
+const transferOnStopTimeout = 2 * time.Second
 
-// handOver moves leadership to the voter that is furthest.
-func (n *Node) handOver(ctx context.Context) {
+// transferOnStop transfers leadership to the most up-to-date voter, if this replica is
+// the leader.
+func (n *Node) transferOnStop(ctx context.Context) {
 	status := n.Status()
 	if status.Role != quorum.Leader {
 		return
@@ -152,25 +153,25 @@
 	if best.ID == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, handOverLimit)
+	ctx, cancel := context.WithTimeout(ctx, transferOnStopTimeout)
 	defer cancel()
 	if err := n.TransferLeadership(ctx, best.ID); err != nil {
-		n.log.Warn("Could not hand leadership over.", zap.Error(err))
+		n.log.Warn("Leadership transfer at the stop failed; the other voters hold an election.", zap.Error(err))
 	}
 }
 
-// refused counts a message that the core did not take. A replica that lost
-// what it acknowledged must not go on.
-func (n *Node) refused(m quorum.Message, err error) {
+// handleStepError counts a message that core/quorum rejected. If the message shows
+// that this replica's disk lost acknowledged entries, the replica must stop.
+func (n *Node) handleStepError(m quorum.Message, err error) {
 	n.counters.RejectedMessages++
 	if errorx.IsOfType(err, quorum.ErrLogRolledBack) {
-		n.broken = err
+		n.fatalErr = err
 		return
 	}
-	n.log.Debug("Refused a message.", zap.Stringer("type", m.Type), zap.Stringer("from", m.From), zap.Error(err))
+	n.log.Debug("Rejected a message from a replica.", zap.Stringer("type", m.Type), zap.Stringer("from", m.From), zap.Error(err))
 }
 
-func isOneOf(err error, types ...*errorx.Type) bool {
+func isOfAnyType(err error, types ...*errorx.Type) bool {
 	for _, t := range types {
 		if errorx.IsOfType(err, t) {
 			return true
--- a/internal/replica/node.go
+++ b/internal/replica/node.go
@@ -11,91 +11,93 @@
 	"fulmarmount.org/core/quorum"
 )
 
-// Options configure a Node.
+// Options configures a Node.
 type Options struct {
 	Store        Store
 	StateMachine StateMachine
 	Transport    Transport
-	// Rand draws election timeouts and the numbers of proposals.
+	// Rand randomizes election timeouts and the first request ID.
 	Rand *rand.Rand
-	// TickInterval is the unit of the replica's time; zero stands for TickInterval.
+	// TickInterval is the time between ticks; zero means DefaultTickInterval.
 	TickInterval time.Duration
-	// Ticks advances the replica's time; nil ticks every Tick.
+	// Ticks drives the replica's clock; nil means a ticker of TickInterval.
 	Ticks <-chan time.Time
-	// CallTimeout bounds calls whose context has no earlier end.
+	// CallTimeout bounds calls whose context has no earlier deadline.
 	CallTimeout time.Duration
 	// SnapshotEntries is the number of applied entries between snapshots.
 	SnapshotEntries uint64
-	// TrailingEntries is the number of entries kept behind a snapshot.
+	// TrailingEntries is the number of log entries retained before a snapshot's
+	// index, so that a follower slightly behind needs no snapshot.
 	TrailingEntries uint64
 	// Log may be nil.
 	Log *zap.Logger
 }
 
 // Defaults of Options. With ten ticks per election timeout, a new leader is
-// found within about two seconds.
+// elected within about two seconds.
 const (
 	DefaultTickInterval    = 100 * time.Millisecond
 	defaultCallTimeout     = 10 * time.Second
 	defaultSnapshotEntries = 4096
-	defaultKeepEntries     = 1024
-	inboxBatches           = 256
+	defaultTrailingEntries = 1024
+	inboxCapacity          = 256
 )
 
 // Node is one running replica. It is safe for concurrent use.
 type Node struct {
 	options Options
-	core    *quorum.Replica
+	raft    *quorum.Replica
 	log     *zap.Logger
 
-	inbox chan []quorum.Message
-	calls chan func()
-	stop  chan struct{}
-	done  chan struct{}
+	inbox         chan []quorum.Message
+	loopCalls     chan func()
+	stopRequested chan struct{}
+	done          chan struct{}
 
-	// Owned by the loop.
-	number    uint64
-	applied   uint64
-	snapshot  uint64 // last entry in the latest snapshot
-	broken    error  // why the replica must not go on
-	proposals map[uint64]*proposal
-	waiting   []*proposal // no leader is known yet
-	reads     map[uint64]*read
+	// The fields below belong to the event loop.
+
+	lastRequestID      uint64 // of proposals and reads
+	appliedIndex       uint64
+	snapshotIndex      uint64 // index of the last entry in the latest snapshot
+	fatalErr           error  // stops the replica when set
+	submittedProposals map[uint64]*proposal
+	queuedProposals    []*proposal // not yet submitted: no leader accepts proposals
+	pendingReads       map[uint64]*pendingRead
 
 	counters Counters
 
-	mu      sync.Mutex
-	err     error
-	last    Status // once the loop has ended
-	soft    quorum.SoftState
-	changed chan struct{}
+	mu          sync.Mutex
+	err         error
+	finalStatus Status // set when the loop ends
+	softState   quorum.SoftState
+	changed     chan struct{} // closed when softState or the membership changes
 }
 
-// Start runs a replica that continues from what the store holds.
+// Start starts a replica from the state in the store.
 func Start(o Options) (*Node, error) {
 	setDefaults(&o)
 	state := o.Store.State()
 	if len(state.Snapshot.Data) > 0 {
 		if err := o.StateMachine.Restore(state.Snapshot.Data); err != nil {
-			return nil, ErrStateMachine.Wrap(err, "snapshot %d does not restore", state.Snapshot.Index)
+			return nil, ErrStateMachine.Wrap(err, "cannot restore the stored snapshot at index %d", state.Snapshot.Index)
 		}
 	}
-	core, err := quorum.New(quorum.Config{
+	raft, err := quorum.New(quorum.Config{
 		ID: o.Store.Replica(), Rand: o.Rand,
 		HardState: state.HardState, Snapshot: state.Snapshot, Entries: state.Entries,
 	})
 	if err != nil {
 		return nil, err
 	}
-	if members := core.Membership(); members.VoterCount() == 1 {
-		core.Campaign() // nobody else could lead
+	if members := raft.Membership(); members.VoterCount() == 1 {
+		raft.Campaign() // no other replica can become leader
 	}
 	n := &Node{
-		options: o, core: core, log: o.Log,
-		inbox: make(chan []quorum.Message, inboxBatches), calls: make(chan func()),
-		stop: make(chan struct{}), done: make(chan struct{}), changed: make(chan struct{}),
-		number: o.Rand.Uint64(), applied: state.Snapshot.Index, snapshot: state.Snapshot.Index,
-		proposals: make(map[uint64]*proposal), reads: make(map[uint64]*read),
+		options: o, raft: raft, log: o.Log,
+		inbox: make(chan []quorum.Message, inboxCapacity), loopCalls: make(chan func()),
+		stopRequested: make(chan struct{}), done: make(chan struct{}), changed: make(chan struct{}),
+		lastRequestID: o.Rand.Uint64(), appliedIndex: state.Snapshot.Index, snapshotIndex: state.Snapshot.Index,
+		submittedProposals: make(map[uint64]*proposal), pendingReads: make(map[uint64]*pendingRead),
 	}
 	go n.run()
 	return n, nil
@@ -109,7 +111,7 @@
 		o.SnapshotEntries = defaultSnapshotEntries
 	}
 	if o.TrailingEntries == 0 {
-		o.TrailingEntries = defaultKeepEntries
+		o.TrailingEntries = defaultTrailingEntries
 	}
 	if o.TickInterval == 0 {
 		o.TickInterval = DefaultTickInterval
@@ -119,8 +121,8 @@
 	}
 }
 
-// Receive takes messages from the transport. When the replica is behind with
-// them they are dropped; the protocol sends what matters again.
+// Receive queues messages from the transport. It drops them if the queue is full;
+// the protocol retransmits.
 func (n *Node) Receive(messages []quorum.Message) {
 	select {
 	case n.inbox <- messages:
@@ -128,28 +130,30 @@
 	}
 }
 
-// Done is closed when the replica has ended, by Stop or by a failed store.
+// Done returns a channel that is closed when the replica has stopped, by Stop or
+// after an error; see Err.
 func (n *Node) Done() <-chan struct{} { return n.done }
 
-// Err returns why the replica ended on its own, or nil.
+// Err returns the error that stopped the replica, or nil.
 func (n *Node) Err() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.err
 }
 
-// Stop hands leadership on if it can before ctx ends, and ends the replica.
+// Stop stops the replica. If it is the leader, Stop first tries to transfer
+// leadership until ctx ends.
 func (n *Node) Stop(ctx context.Context) error {
-	n.handOver(ctx)
-	close(n.stop)
+	n.transferOnStop(ctx)
+	close(n.stopRequested)
 	<-n.done
 	return n.Err()
 }
 
 func (n *Node) run() {
 	defer close(n.done)
-	if err := n.work(); err != nil {
-		n.end(err)
+	if err := n.processReady(); err != nil {
+		n.terminate(err)
 		return
 	}
 	ticks := n.options.Ticks
@@ -160,32 +164,33 @@
 	}
 	for {
 		select {
-		case <-n.stop:
-			n.end(nil)
+		case <-n.stopRequested:
+			n.terminate(nil)
 			return
 		case <-ticks:
 			n.tick()
 		case messages := <-n.inbox:
 			n.step(messages)
-		case call := <-n.calls:
+		case call := <-n.loopCalls:
 			call()
 		}
-		n.drain()
-		if err := n.work(); err != nil {
-			n.log.Error("Replica stops.", zap.Error(err))
-			n.end(err)
+		n.drainQueues()
+		if err := n.processReady(); err != nil {
+			n.log.Error("Replica stopped after a fatal error.", zap.Error(err))
+			n.terminate(err)
 			return
 		}
 	}
 }
 
-// drain takes what else is there, so that one sync serves many proposals.
-func (n *Node) drain() {
-	for range inboxBatches {
+// drainQueues processes further queued messages and calls, so that many proposals
+// share one sync. It processes a limited number, lest the loop never save.
+func (n *Node) drainQueues() {
+	for range inboxCapacity {
 		select {
 		case messages := <-n.inbox:
 			n.step(messages)
-		case call := <-n.calls:
+		case call := <-n.loopCalls:
 			call()
 		default:
 			return
@@ -194,100 +199,103 @@
 }
 
 func (n *Node) tick() {
-	n.core.Tick()
-	n.retryWaiting()
+	n.raft.Tick()
+	n.retryQueuedProposals()
 	n.retryReads()
 }
 
 func (n *Node) step(messages []quorum.Message) {
 	for i := range messages {
-		if err := n.core.Step(messages[i]); err != nil {
-			n.refused(messages[i], err)
+		if err := n.raft.Step(messages[i]); err != nil {
+			n.handleStepError(messages[i], err)
 		}
 	}
 }
 
-// work carries out what the core is ready to do.
-func (n *Node) work() error {
+// processReady executes the outstanding work of core/quorum until none is left.
+func (n *Node) processReady() error {
 	for {
-		if n.broken != nil {
-			return n.broken
+		if n.fatalErr != nil {
+			return n.fatalErr
 		}
-		rd := n.core.Ready()
+		rd := n.raft.Ready()
 		if rd.IsEmpty() {
 			return nil
 		}
-		if err := n.carryOut(rd); err != nil {
+		if err := n.handleReady(rd); err != nil {
 			return err
 		}
 	}
 }
 
-func (n *Node) carryOut(rd quorum.Ready) error {
+// handleReady executes rd in the order that quorum.Ready requires: messages other
+// than the immediate ones are sent only after the save.
+func (n *Node) handleReady(rd quorum.Ready) error {
 	n.send(rd.ImmediateMessages)
 	if err := n.options.Store.Save(rd); err != nil {
 		return err
 	}
 	if rd.Snapshot != nil {
-		if err := n.restore(*rd.Snapshot); err != nil {
+		if err := n.restoreSnapshot(*rd.Snapshot); err != nil {
 			return err
 		}
 	}
 	n.send(rd.Messages)
 	for i := range rd.CommittedEntries {
-		n.apply(rd.CommittedEntries[i])
+		n.applyEntry(rd.CommittedEntries[i])
 	}
-	n.core.Advance(rd)
+	n.raft.Advance(rd)
 	for _, state := range rd.ReadStates {
-		n.confirmRead(state)
+		n.recordReadIndex(state)
 	}
-	n.finishReads()
+	n.completeReads()
 	if rd.SoftState != nil {
-		n.leaderChanged(*rd.SoftState)
+		n.updateSoftState(*rd.SoftState)
 	}
-	return n.compact()
+	return n.compactIfDue()
 }
 
-func (n *Node) restore(s quorum.Snapshot) error {
-	// The first snapshot of a cluster holds a membership and no state.
+func (n *Node) restoreSnapshot(s quorum.Snapshot) error {
+	// A cluster's initial snapshot contains a membership and no state.
 	if len(s.Data) > 0 {
 		if err := n.options.StateMachine.Restore(s.Data); err != nil {
-			return ErrStateMachine.Wrap(err, "snapshot %d does not restore", s.Index)
+			return ErrStateMachine.Wrap(err, "cannot restore the leader's snapshot at index %d", s.Index)
 		}
 	}
-	n.applied, n.snapshot = s.Index, s.Index
-	n.membersChanged()
-	// Their entries may lie within the snapshot, and their results with them.
-	n.failProposals(ErrOutcomeUnknown.New("a snapshot replaced the log up to entry %d", s.Index))
+	n.appliedIndex, n.snapshotIndex = s.Index, s.Index
+	n.notifyWaiters()
+	// The snapshot may cover the proposals' entries, whose results are then lost.
+	n.failSubmittedProposals(ErrOutcomeUnknown.New("the leader's snapshot replaced the log through index %d", s.Index))
 	return nil
 }
 
-func (n *Node) apply(e quorum.Entry) {
+func (n *Node) applyEntry(e quorum.Entry) {
 	var result []byte
 	if e.Kind == quorum.EntryCommand {
 		result = n.options.StateMachine.Apply(e.Index, e.Data)
 	}
 	if e.Kind == quorum.EntryChange {
-		n.membersChanged()
+		n.notifyWaiters()
 	}
-	n.applied = e.Index
+	n.appliedIndex = e.Index
 	n.counters.Applied++
-	if p := n.proposals[e.ProposalID]; p != nil && e.Proposer == n.options.Store.Replica() {
-		delete(n.proposals, e.ProposalID)
-		p.finish(result, nil)
+	if p := n.submittedProposals[e.ProposalID]; p != nil && e.Proposer == n.options.Store.Replica() {
+		delete(n.submittedProposals, e.ProposalID)
+		p.complete(result, nil)
 	}
 }
 
-// compact takes a snapshot when enough was applied since the last one.
-func (n *Node) compact() error {
-	if n.applied < n.snapshot+n.options.SnapshotEntries {
+// compactIfDue takes a snapshot and compacts the log if SnapshotEntries entries were
+// applied since the last snapshot.
+func (n *Node) compactIfDue() error {
+	if n.appliedIndex < n.snapshotIndex+n.options.SnapshotEntries {
 		return nil
 	}
 	state, err := n.options.StateMachine.Snapshot()
 	if err != nil {
-		return ErrStateMachine.Wrap(err, "no snapshot at entry %d", n.applied)
+		return ErrStateMachine.Wrap(err, "cannot create a snapshot at index %d", n.appliedIndex)
 	}
-	snapshot, err := n.core.Snapshot(n.applied, state)
+	snapshot, err := n.raft.Snapshot(n.appliedIndex, state)
 	if err != nil {
 		return err
 	}
@@ -295,16 +303,16 @@
 	if err := n.options.Store.Compact(snapshot, first); err != nil {
 		return err
 	}
-	n.core.Compact(snapshot, n.options.TrailingEntries)
-	n.snapshot = snapshot.Index
+	n.raft.Compact(snapshot, n.options.TrailingEntries)
+	n.snapshotIndex = snapshot.Index
 	n.counters.Snapshots++
 	n.log.Info("Took a snapshot.", zap.Uint64("index", snapshot.Index), zap.Int("bytes", len(state)))
 	return nil
 }
 
-// send groups messages by their receiver.
+// send passes messages to the transport, in one batch per recipient.
 func (n *Node) send(messages []quorum.Message) {
-	members := n.core.Membership()
+	members := n.raft.Membership()
 	for len(messages) > 0 {
 		to := messages[0].To
 		var batch, rest []quorum.Message
@@ -315,34 +323,35 @@
 				rest = append(rest, messages[i])
 			}
 		}
-		n.options.Transport.Send(n.receiver(members, to), batch)
+		n.options.Transport.Send(n.recipient(members, to), batch)
 		messages = rest
 	}
 }
 
-// receiver returns the member to send to. A replica that is new to the log
-// does not know the address of the leader that it answers.
-func (n *Node) receiver(members quorum.Membership, id quorum.ReplicaID) quorum.Member {
+// recipient returns the member with an ID. A replica that has not received the
+// membership yet does not know the leader's address; the member it responds to then
+// has an ID only.
+func (n *Node) recipient(members quorum.Membership, id quorum.ReplicaID) quorum.Member {
 	if member, ok := members.Find(id); ok {
 		return member
 	}
 	return quorum.Member{ID: id}
 }
 
-// end fails all calls and keeps the last status.
-func (n *Node) end(err error) {
+// terminate fails all outstanding calls and stores the final status.
+func (n *Node) terminate(err error) {
 	n.mu.Lock()
 	n.err = err
-	n.last = n.status()
+	n.finalStatus = n.status()
 	n.mu.Unlock()
-	// Whoever acts as the leader's process must not go on.
-	n.leaderChanged(quorum.SoftState{Term: n.last.Term})
-	n.failProposals(ErrOutcomeUnknown.New("the replica ended"))
-	for _, p := range n.waiting {
-		p.finish(nil, ErrStopped.New("the replica ended"))
-	}
-	for number, r := range n.reads {
-		delete(n.reads, number)
-		r.done <- ErrStopped.New("the replica ended")
+	// Observers of Leader must not act as the leader's process any longer.
+	n.updateSoftState(quorum.SoftState{Term: n.finalStatus.Term})
+	n.failSubmittedProposals(ErrOutcomeUnknown.New("replica stopped before the entry was applied"))
+	for _, p := range n.queuedProposals {
+		p.complete(nil, ErrStopped.New("replica stopped before the proposal was submitted"))
+	}
+	for id, r := range n.pendingReads {
+		delete(n.pendingReads, id)
+		r.done <- ErrStopped.New("replica stopped before the read completed")
 	}
 }
--- a/internal/replica/node_test.go
+++ b/internal/replica/node_test.go
@@ -15,37 +15,37 @@
 	"fulmarmount.org/fulmarmount/internal/disk"
 )
 
-func TestAloneInMemory(t *testing.T) {
+func TestSingleReplicaAppliesProposals(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, memoryStores(t, 1)...)
-	n := c.leader()
+	n := c.awaitLeader()
 	for i := range uint64(50) {
-		is.NoErr(c.set(n, i))
+		is.NoErr(c.proposeValue(n, i))
 	}
-	is.NoErr(c.wait("read", func() error { return n.ReadIndex(context.Background()) }))
-	is.Equal(c.states[n.options.Store.Replica()].get(), uint64(49))
+	is.NoErr(c.tickDuring("read", func() error { return n.ReadIndex(context.Background()) }))
+	is.Equal(c.registers[n.options.Store.Replica()].current(), uint64(49))
 	is.True(n.Status().Counters.Snapshots > 0)
 	is.NoErr(n.Stop(context.Background()))
 	_, err := n.Propose(context.Background(), encode(1))
 	is.True(errorx.IsOfType(err, ErrStopped))
 }
 
-func TestFollowersForward(t *testing.T) {
+func TestFollowerForwardsProposals(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, memoryStores(t, 3)...)
-	f := c.follower()
-	var before []byte
-	is.NoErr(c.set(c.leader(), 5))
-	is.NoErr(c.wait("forward", func() (err error) {
-		before, err = f.Propose(context.Background(), encode(6))
+	f := c.awaitFollower()
+	var previous []byte
+	is.NoErr(c.proposeValue(c.awaitLeader(), 5))
+	is.NoErr(c.tickDuring("forwarded proposal", func() (err error) {
+		previous, err = f.Propose(context.Background(), encode(6))
 		return err
 	}))
-	is.Equal(before, encode(5))
-	is.NoErr(c.wait("read", func() error { return f.ReadIndex(context.Background()) }))
-	is.Equal(c.states[f.options.Store.Replica()].get(), uint64(6))
+	is.Equal(previous, encode(5))
+	is.NoErr(c.tickDuring("read", func() error { return f.ReadIndex(context.Background()) }))
+	is.Equal(c.registers[f.options.Store.Replica()].current(), uint64(6))
 }
 
-func TestRestartsFromDisk(t *testing.T) {
+func TestReplicasRecoverStateFromDisk(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
 	open := func(name string) *disk.Store {
@@ -56,20 +56,20 @@
 	stores := []*disk.Store{open("a"), open("b"), open("c")}
 	c := newCluster(t, stores[0], stores[1], stores[2])
 	for i := range uint64(30) {
-		is.NoErr(c.set(c.leader(), i))
+		is.NoErr(c.proposeValue(c.awaitLeader(), i))
 	}
 	for i, name := range []string{"a", "b", "c"} {
 		c.kill(stores[i].Replica())
 		is.NoErr(stores[i].Close())
 		stores[i] = open(name)
 		n := c.start(stores[i])
-		is.NoErr(c.set(c.leader(), uint64(100+i)))
-		is.NoErr(c.wait("read", func() error { return n.ReadIndex(context.Background()) }))
-		is.Equal(c.states[stores[i].Replica()].get(), uint64(100+i))
+		is.NoErr(c.proposeValue(c.awaitLeader(), uint64(100+i)))
+		is.NoErr(c.tickDuring("read", func() error { return n.ReadIndex(context.Background()) }))
+		is.Equal(c.registers[stores[i].Replica()].current(), uint64(100+i))
 	}
 }
 
-func TestSyncErrorStopsForGood(t *testing.T) {
+func TestFailedSaveStopsReplica(t *testing.T) {
 	is := is.New(t)
 	stores := memoryStores(t, 3)
 	var failing []*failingStore
@@ -78,24 +78,24 @@
 		stores[i] = failing[i]
 	}
 	c := newCluster(t, stores...)
-	leader := c.leader()
-	is.NoErr(c.set(leader, 1))
-	is.NoErr(leader.call(context.Background(), func() { leader.options.Store.(*failingStore).broken = true }))
-	err := c.set(leader, 2)
-	is.True(isOneOf(err, ErrOutcomeUnknown, ErrStopped))
+	leader := c.awaitLeader()
+	is.NoErr(c.proposeValue(leader, 1))
+	is.NoErr(leader.runInLoop(context.Background(), func() { leader.options.Store.(*failingStore).failSaves = true }))
+	err := c.proposeValue(leader, 2)
+	is.True(isOfAnyType(err, ErrOutcomeUnknown, ErrStopped))
 	<-leader.Done()
 	is.True(leader.Err() != nil)
 	c.kill(leader.options.Store.Replica())
-	is.NoErr(c.set(c.leader(), 3)) // the others go on
+	is.NoErr(c.proposeValue(c.awaitLeader(), 3)) // the remaining majority still commits
 }
 
-func TestCutOffLeaderNeitherAcceptsNorReads(t *testing.T) {
+func TestIsolatedLeaderCommitsNothingAndConfirmsNoReads(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, memoryStores(t, 3)...)
-	old := c.leader()
-	is.NoErr(c.set(old, 1))
+	old := c.awaitLeader()
+	is.NoErr(c.proposeValue(old, 1))
 	c.mu.Lock()
-	c.cut[old.options.Store.Replica()] = true
+	c.isolated[old.options.Store.Replica()] = true
 	c.mu.Unlock()
 	ctx, cancel := context.WithCancel(context.Background())
 	errs := make(chan error, 2)
@@ -104,78 +104,80 @@
 		_, err := old.Propose(ctx, encode(2))
 		errs <- err
 	}()
-	is.NoErr(c.set(c.leader(), 3))
+	is.NoErr(c.proposeValue(c.awaitLeader(), 3))
 	for range 200 {
 		c.tick()
 	}
 	cancel()
 	for range 2 {
-		is.True(isOneOf(<-errs, ErrOutcomeUnknown, ErrNotProposed, ErrReadUnconfirmed))
+		is.True(isOfAnyType(<-errs, ErrOutcomeUnknown, ErrNotProposed, ErrReadUnconfirmed))
 	}
-	is.Equal(c.states[old.options.Store.Replica()].get(), uint64(1))
+	is.Equal(c.registers[old.options.Store.Replica()].current(), uint64(1))
 }
 
-func TestReplaceAReplica(t *testing.T) {
+func TestLostReplicaCanBeReplaced(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	c := newCluster(t, memoryStores(t, 3)...)
-	for i := range uint64(60) { // beyond a snapshot
-		is.NoErr(c.set(c.leader(), i))
+	for i := range uint64(60) { // several times SnapshotEntries, so the learner needs a snapshot
+		is.NoErr(c.proposeValue(c.awaitLeader(), i))
 	}
-	lost := c.follower().options.Store.Replica()
+	lost := c.awaitFollower().options.Store.Replica()
 	c.kill(lost)
-	fresh := memoryStores(t, 1)[0]
-	learner := c.start(fresh)
-	member := quorum.Member{ID: fresh.Replica(), Name: "vm-3"}
-	leader := c.leader()
+	emptyStore := memoryStores(t, 1)[0]
+	learner := c.start(emptyStore)
+	member := quorum.Member{ID: emptyStore.Replica(), Name: "vm-3"}
+	leader := c.awaitLeader()
 	is.True(errorx.IsOfType(learner.AddLearner(ctx, member), ErrNotLeader))
-	is.NoErr(c.wait("add", func() error { return leader.AddLearner(ctx, member) }))
-	c.until("promotion", func() bool { return leader.PromoteLearner(ctx, member.ID) == nil })
-	is.NoErr(c.wait("remove", func() error { return leader.RemoveMember(ctx, lost) }))
-	c.kill(leader.options.Store.Replica()) // a second loss right after
-	is.NoErr(c.set(c.leader(), 100))
-	is.NoErr(c.wait("read", func() error { return learner.ReadIndex(ctx) }))
-	is.Equal(c.states[member.ID].get(), uint64(100))
+	is.NoErr(c.tickDuring("add", func() error { return leader.AddLearner(ctx, member) }))
+	c.tickUntil("promotion", func() bool { return leader.PromoteLearner(ctx, member.ID) == nil })
+	is.NoErr(c.tickDuring("remove", func() error { return leader.RemoveMember(ctx, lost) }))
+	c.kill(leader.options.Store.Replica()) // a second replica fails right after the change
+	is.NoErr(c.proposeValue(c.awaitLeader(), 100))
+	is.NoErr(c.tickDuring("read", func() error { return learner.ReadIndex(ctx) }))
+	is.Equal(c.registers[member.ID].current(), uint64(100))
 }
 
-func TestStopHandsLeadershipOver(t *testing.T) {
+func TestStopTransfersLeadership(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, memoryStores(t, 3)...)
-	old := c.leader()
-	is.NoErr(c.set(old, 1))
+	old := c.awaitLeader()
+	is.NoErr(c.proposeValue(old, 1))
 	term := old.Status().Term
-	is.NoErr(c.wait("stop", func() error { return old.Stop(context.Background()) }))
-	next := c.leader()
+	is.NoErr(c.tickDuring("stop", func() error { return old.Stop(context.Background()) }))
+	next := c.awaitLeader()
 	is.True(next != old)
-	is.Equal(next.Status().Term, term+1) // by transfer, not by timeout
+	is.Equal(next.Status().Term, term+1) // a transfer, not an election after a timeout
 }
 
-// operation is an input to the register's model.
+// operation is an input of registerModel: a write of value, or a read.
 type operation struct {
-	set   bool
-	value uint64
+	isWrite bool
+	value   uint64
 }
 
-// model is the register as porcupine checks it.
-var model = porcupine.Model{
+// registerModel is the sequential specification of a register. A nil output is that
+// of a write whose response was lost.
+var registerModel = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, output any) (bool, any) {
 		op := input.(operation)
-		if op.set {
+		if op.isWrite {
 			return output == nil || output == state, op.value
 		}
 		return output == state, state
 	},
 }
 
-// TestLinearizable runs clients against replicas that lose messages and checks
-// their history. A lost answer to a set leaves it open until the end.
-func TestLinearizable(t *testing.T) {
+// TestHistoryIsLinearizableUnderMessageLoss runs concurrent clients while the
+// transport loses messages, and checks their history. A write without a response may
+// take effect at any later time, so it stays open until the end of the history.
+func TestHistoryIsLinearizableUnderMessageLoss(t *testing.T) {
 	const clients, operations = 4, 40
 	c := newCluster(t, memoryStores(t, 3)...)
-	c.leader()
+	c.awaitLeader()
 	c.mu.Lock()
-	c.loss = 0.05
+	c.lossRate = 0.05
 	c.mu.Unlock()
 	var clock atomic.Int64
 	var mu sync.Mutex
@@ -189,11 +191,11 @@
 		running.Go(func() {
 			for i := range operations {
 				n := nodes[(client+i)%len(nodes)]
-				op := operation{set: i%2 == 0, value: uint64(client*operations + i + 1)}
+				op := operation{isWrite: i%2 == 0, value: uint64(client*operations + i + 1)}
 				record := porcupine.Operation{ClientId: client, Input: op, Call: clock.Add(1)}
-				output, ended := perform(c, n, op)
+				output, completed := runOperation(c, n, op)
 				record.Output, record.Return = output, clock.Add(1)
-				if !ended {
+				if !completed {
 					record.Return = int64(1) << 62
 				}
 				mu.Lock()
@@ -202,33 +204,34 @@
 			}
 		})
 	}
-	_ = c.wait("clients", func() error { running.Wait(); return nil })
-	if !porcupine.CheckOperations(model, history) {
+	_ = c.tickDuring("clients", func() error { running.Wait(); return nil })
+	if !porcupine.CheckOperations(registerModel, history) {
 		t.Fatal("history is not linearizable")
 	}
 }
 
-// answerTicks is how long a client waits for an answer.
-const answerTicks = 100
+// responseTimeoutTicks bounds a client's wait for the response to a write.
+const responseTimeoutTicks = 100
 
-// perform runs one operation; a set whose answer is lost has not ended.
-func perform(c *cluster, n *Node, op operation) (output any, ended bool) {
+// runOperation runs one operation. It reports false for a write whose response was
+// lost.
+func runOperation(c *cluster, n *Node, op operation) (output any, completed bool) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	if !op.set {
+	if !op.isWrite {
 		for n.ReadIndex(ctx) != nil {
 			continue
 		}
-		return c.states[n.options.Store.Replica()].get(), true
+		return c.registers[n.options.Store.Replica()].current(), true
 	}
-	c.after(answerTicks, cancel)
+	c.afterTicks(responseTimeoutTicks, cancel)
 	result, err := n.Propose(ctx, encode(op.value))
 	if err != nil {
 		return nil, false
 	}
-	before := uint64(0)
+	previous := uint64(0)
 	for _, b := range result {
-		before = before<<8 | uint64(b)
+		previous = previous<<8 | uint64(b)
 	}
-	return before, true
+	return previous, true
 }
--- a/internal/replica/propose.go
+++ b/internal/replica/propose.go
@@ -6,35 +6,35 @@
 	"fulmarmount.org/core/quorum"
 )
 
-// proposal waits for its entry to be applied.
+// proposal is a call that waits for its entry to be applied.
 type proposal struct {
 	ctx    context.Context
-	submit func(number uint64) error
-	done   chan outcome // holds one
+	submit func(requestID uint64) error
+	done   chan outcome // has a buffer of one
 }
 
-// outcome is how a proposal ended.
+// outcome is the result of a completed proposal.
 type outcome struct {
 	result []byte
 	err    error
 }
 
-// finish ends p. A proposal is finished once.
-func (p *proposal) finish(result []byte, err error) { p.done <- outcome{result, err} }
+// complete delivers p's outcome. It must be called once.
+func (p *proposal) complete(result []byte, err error) { p.done <- outcome{result, err} }
 
-// Propose replicates a command and returns what the state machine answered to
-// it. A follower passes it on to the leader; while none is known it waits. An
-// error of type NotRun or Stopped says that nothing was proposed, one of type
-// OutcomeUnknown that the command may take effect.
+// Propose replicates a command and returns the state machine's result. A follower
+// forwards the command to the leader, and waits while no leader is known. After an
+// error of type ErrNotProposed or ErrStopped nothing was proposed; after one of type
+// ErrOutcomeUnknown the command may still take effect.
 func (n *Node) Propose(ctx context.Context, command []byte) ([]byte, error) {
-	return n.propose(ctx, func(number uint64) error { return n.core.Propose(number, command) })
+	return n.propose(ctx, func(requestID uint64) error { return n.raft.Propose(requestID, command) })
 }
 
 func (n *Node) propose(ctx context.Context, submit func(uint64) error) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, n.options.CallTimeout)
 	defer cancel()
 	p := &proposal{ctx: ctx, submit: submit, done: make(chan outcome, 1)}
-	if err := n.call(ctx, func() { n.submit(p) }); err != nil {
+	if err := n.runInLoop(ctx, func() { n.submitProposal(p) }); err != nil {
 		return nil, err
 	}
 	select {
@@ -42,77 +42,78 @@
 		return o.result, o.err
 	case <-ctx.Done():
 	}
-	// The loop tells whether the proposal had been sent.
-	if err := n.call(context.WithoutCancel(ctx), func() { n.giveUp(p, ctx.Err()) }); err != nil {
-		return nil, ErrOutcomeUnknown.Wrap(ctx.Err(), "no answer in time")
+	// Only the event loop knows whether the proposal was submitted.
+	if err := n.runInLoop(context.WithoutCancel(ctx), func() { n.abandonProposal(p, ctx.Err()) }); err != nil {
+		return nil, ErrOutcomeUnknown.Wrap(ctx.Err(), "replica stopped before the outcome was known")
 	}
 	o := <-p.done
 	return o.result, o.err
 }
 
-// call runs f in the loop and waits until it has run.
-func (n *Node) call(ctx context.Context, f func()) error {
-	ran := make(chan struct{})
+// runInLoop runs f in the event loop and waits until it has returned.
+func (n *Node) runInLoop(ctx context.Context, f func()) error {
+	returned := make(chan struct{})
 	select {
-	case n.calls <- func() { f(); close(ran) }:
+	case n.loopCalls <- func() { f(); close(returned) }:
 	case <-n.done:
-		return ErrStopped.New("the replica ended")
+		return ErrStopped.New("replica has stopped")
 	case <-ctx.Done():
-		return ErrNotProposed.Wrap(ctx.Err(), "the replica did not take the call in time")
+		return ErrNotProposed.Wrap(ctx.Err(), "event loop did not accept the call in time")
 	}
-	<-ran // the loop runs what it has taken
+	<-returned // the loop runs every call that it has received
 	return nil
 }
 
-// submit hands p to the core, or keeps it until a leader is known.
-func (n *Node) submit(p *proposal) {
-	n.number++
-	err := p.submit(n.number)
+// submitProposal submits p to core/quorum, or queues it while no leader accepts
+// proposals.
+func (n *Node) submitProposal(p *proposal) {
+	n.lastRequestID++
+	err := p.submit(n.lastRequestID)
 	switch {
 	case err == nil:
 		n.counters.Proposals++
-		n.proposals[n.number] = p
-	case isOneOf(err, quorum.ErrNotLeader, quorum.ErrLeadershipTransfer):
-		n.waiting = append(n.waiting, p)
+		n.submittedProposals[n.lastRequestID] = p
+	case isOfAnyType(err, quorum.ErrNotLeader, quorum.ErrLeadershipTransfer):
+		n.queuedProposals = append(n.queuedProposals, p)
 	default:
-		p.finish(nil, err)
+		p.complete(nil, err)
 	}
 }
 
-func (n *Node) retryWaiting() {
-	waiting := n.waiting
-	n.waiting = nil
-	for _, p := range waiting {
+func (n *Node) retryQueuedProposals() {
+	queued := n.queuedProposals
+	n.queuedProposals = nil
+	for _, p := range queued {
 		if err := p.ctx.Err(); err != nil {
-			p.finish(nil, ErrNotProposed.Wrap(err, "no leader in time"))
+			p.complete(nil, ErrNotProposed.Wrap(err, "no leader accepted proposals in time"))
 			continue
 		}
-		n.submit(p)
+		n.submitProposal(p)
 	}
 }
 
-// giveUp ends p unless it has ended already.
-func (n *Node) giveUp(p *proposal, cause error) {
-	for i := range n.waiting {
-		if n.waiting[i] == p {
-			n.waiting = append(n.waiting[:i], n.waiting[i+1:]...)
-			p.finish(nil, ErrNotProposed.Wrap(cause, "no leader in time"))
+// abandonProposal completes p with an error unless it has completed already.
+func (n *Node) abandonProposal(p *proposal, cause error) {
+	for i := range n.queuedProposals {
+		if n.queuedProposals[i] == p {
+			n.queuedProposals = append(n.queuedProposals[:i], n.queuedProposals[i+1:]...)
+			p.complete(nil, ErrNotProposed.Wrap(cause, "no leader accepted proposals in time"))
 			return
 		}
 	}
-	for number := range n.proposals {
-		if n.proposals[number] == p {
-			delete(n.proposals, number)
-			p.finish(nil, ErrOutcomeUnknown.Wrap(cause, "no answer in time"))
+	for id := range n.submittedProposals {
+		if n.submittedProposals[id] == p {
+			delete(n.submittedProposals, id)
+			p.complete(nil, ErrOutcomeUnknown.Wrap(cause, "entry was not applied in time"))
 			return
 		}
 	}
 }
 
-// failProposals ends those that were sent.
-func (n *Node) failProposals(err error) {
-	for number, p := range n.proposals {
-		delete(n.proposals, number)
-		p.finish(nil, err)
+// failSubmittedProposals completes all submitted proposals with err.
+func (n *Node) failSubmittedProposals(err error) {
+	for id, p := range n.submittedProposals {
+		delete(n.submittedProposals, id)
+		p.complete(nil, err)
 	}
 }
