--- a/internal/group/found.go
+++ b/internal/group/found.go
@@ -77,9 +77,9 @@
 			g.options.Log.Debug("A peer does not answer.", zap.String("peer", p.Name), zap.Error(err))
 			continue
 		}
-		if identity.Group != g.options.Cluster {
+		if identity.GroupName != g.options.Cluster {
 			g.options.Log.Error("A peer is of another control group.",
-				zap.String("peer", p.Name), zap.String("group", identity.Group))
+				zap.String("peer", p.Name), zap.String("group", identity.GroupName))
 			continue
 		}
 		answers = append(answers, identity)
@@ -95,9 +95,9 @@
 			members = append(members, a.Member)
 			continue
 		}
-		if a.Founders.IsVoter(self.ID) {
+		if a.InitialMembership.IsVoter(self.ID) {
 			// A peer was faster, and counted this replica's identity in.
-			return lead, a.Cluster, a.Founders
+			return lead, a.Cluster, a.InitialMembership
 		}
 		return join, a.Cluster, quorum.Membership{}
 	}
@@ -125,7 +125,7 @@
 
 // identity tells other replicas about this one.
 func (g *Group) identity() replicalink.Identity {
-	id := replicalink.Identity{Member: g.self, Group: g.options.Cluster}
+	id := replicalink.Identity{Member: g.self, GroupName: g.options.Cluster}
 	n := g.current()
 	if n == nil {
 		return id
@@ -133,7 +133,7 @@
 	status := n.Status()
 	id.Cluster = status.Cluster
 	if status.SnapshotIndex == firstSnapshot {
-		id.Founders = status.SnapshotMembership
+		id.InitialMembership = status.SnapshotMembership
 	}
 	return id
 }
--- a/internal/group/group.go
+++ b/internal/group/group.go
@@ -204,9 +204,9 @@
 // Handlers returns what serves the other replicas, by the kind of stream.
 func (g *Group) Handlers() map[string]peer.Handler {
 	return map[string]peer.Handler{
-		replicalink.Messages: g.link.HandleMessages,
-		replicalink.Identify: g.link.HandleIdentify,
-		replicalink.Join:     g.link.HandleJoin,
+		replicalink.KindMessages: g.link.HandleMessages,
+		replicalink.KindIdentify: g.link.HandleIdentify,
+		replicalink.KindJoin:     g.link.HandleJoin,
 	}
 }
 
--- a/internal/group/group_test.go
+++ b/internal/group/group_test.go
@@ -261,9 +261,9 @@
 	}{
 		{"nobody answers", nil, ask},
 		{"all are new", []replicalink.Identity{{Member: other}}, lead},
-		{"a peer was faster", []replicalink.Identity{{Member: other, Cluster: 5, Founders: both}}, lead},
+		{"a peer was faster", []replicalink.Identity{{Member: other, Cluster: 5, InitialMembership: both}}, lead},
 		{"an older cluster", []replicalink.Identity{{Member: other, Cluster: 5}}, join},
-		{"founders knew the lost disk", []replicalink.Identity{{Member: other, Cluster: 5, Founders: quorum.NewMembership(other, quorum.Member{ID: 9})}}, join},
+		{"founders knew the lost disk", []replicalink.Identity{{Member: other, Cluster: 5, InitialMembership: quorum.NewMembership(other, quorum.Member{ID: 9})}}, join},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/group/keep.go
+++ b/internal/group/keep.go
@@ -126,20 +126,20 @@
 }
 
 // admit adds a replica that asks for it, or names the leader that can.
-func (g *Group) admit(ctx context.Context, who quorum.Member) replicalink.Admission {
+func (g *Group) admit(ctx context.Context, who quorum.Member) replicalink.JoinResponse {
 	n := g.current()
 	if n == nil {
-		return replicalink.Admission{Reason: "this replica belongs to no cluster yet"}
+		return replicalink.JoinResponse{Reason: "this replica belongs to no cluster yet"}
 	}
 	status := n.Status()
 	if leader, ok := status.Membership.Find(status.Leader); ok && status.Role != quorum.Leader {
-		return replicalink.Admission{Leader: leader.Address}
+		return replicalink.JoinResponse{LeaderAddress: leader.Address}
 	}
 	if status.Role != quorum.Leader {
-		return replicalink.Admission{Reason: "no leader is known"}
+		return replicalink.JoinResponse{Reason: "no leader is known"}
 	}
 	if _, known := status.Membership.Find(who.ID); known {
-		return replicalink.Admission{Leader: g.options.Addr.String(), Accepted: true}
+		return replicalink.JoinResponse{LeaderAddress: g.options.Addr.String(), Accepted: true}
 	}
 	addr, err := netip.ParseAddrPort(who.Address)
 	if err == nil {
@@ -150,9 +150,9 @@
 	if err != nil {
 		g.options.Log.Warn("Could not add a replica that asks for it.", zap.String("name", who.Name),
 			zap.String("addr", who.Address), zap.Error(err))
-		return replicalink.Admission{Reason: err.Error()}
+		return replicalink.JoinResponse{Reason: err.Error()}
 	}
 	g.options.Log.Info("Added a replica that asked for it.", zap.Stringer("replica", who.ID),
 		zap.String("name", who.Name), zap.String("addr", who.Address))
-	return replicalink.Admission{Leader: g.options.Addr.String(), Accepted: true}
+	return replicalink.JoinResponse{LeaderAddress: g.options.Addr.String(), Accepted: true}
 }
--- a/internal/group/members.go
+++ b/internal/group/members.go
@@ -54,8 +54,8 @@
 	}
 	cluster := n.Status().Cluster
 	switch {
-	case identity.Group != g.options.Cluster:
-		return Refused.New("replica at %s is of control group %q", addr, identity.Group)
+	case identity.GroupName != g.options.Cluster:
+		return Refused.New("replica at %s is of control group %q", addr, identity.GroupName)
 	case identity.Cluster != 0 && identity.Cluster != cluster:
 		return Refused.New("replica at %s is of cluster %s; this one is %s", addr, identity.Cluster, cluster)
 	case identity.Member.Name != name:
--- a/internal/replicalink/link.go
+++ b/internal/replicalink/link.go
@@ -20,22 +20,22 @@
 
 // The kinds of streams.
 const (
-	// Messages carries a Hello and then batches of messages one way.
-	Messages = "replica-messages"
-	// Identify carries a Hello one way and an Identity back.
-	Identify = "replica-identify"
-	// Join carries a Hello one way and an Admission back.
-	Join = "replica-join"
+	// KindMessages carries a Hello and then batches of messages one way.
+	KindMessages = "replica-messages"
+	// KindIdentify carries a Hello one way and an Identity back.
+	KindIdentify = "replica-identify"
+	// KindJoin carries a Hello one way and an Admission back.
+	KindJoin = "replica-join"
 )
 
 // Errors is the namespace of this package's error types.
 var Errors = errorx.NewNamespace("replicalink")
 
-// NotAdmitted says that a replica was not added.
-var NotAdmitted = Errors.NewType("not_admitted", errorx.Temporary())
+// ErrJoinRejected says that a replica was not added.
+var ErrJoinRejected = Errors.NewType("not_admitted", errorx.Temporary())
 
-// TooLong refuses a batch that is longer than any replica sends.
-var TooLong = Errors.NewType("too_long")
+// ErrBatchTooLong refuses a batch that is longer than any replica sends.
+var ErrBatchTooLong = Errors.NewType("too_long")
 
 // Hello is the first message of a stream.
 type Hello struct {
@@ -46,19 +46,19 @@
 // Identity is what a replica tells about itself.
 type Identity struct {
 	Member quorum.Member `cbor:"1,keyasint"`
-	// Group is the operators' name of the control group.
-	Group string `cbor:"2,keyasint"`
+	// GroupName is the operators' name of the control group.
+	GroupName string `cbor:"2,keyasint"`
 	// Cluster is zero while the replica belongs to none.
 	Cluster quorum.ClusterID `cbor:"3,keyasint"`
-	// Founders is the first membership of a cluster that holds nothing yet.
-	Founders quorum.Membership `cbor:"4,keyasint"`
+	// InitialMembership is the first membership of a cluster that holds nothing yet.
+	InitialMembership quorum.Membership `cbor:"4,keyasint"`
 }
 
-// Admission answers a replica that asks to be added.
-type Admission struct {
+// JoinResponse answers a replica that asks to be added.
+type JoinResponse struct {
 	Accepted bool `cbor:"1,keyasint"`
-	// Leader is the address of the replica that can add others, where known.
-	Leader string `cbor:"2,keyasint,omitempty"`
+	// LeaderAddress is the address of the replica that can add others, where known.
+	LeaderAddress string `cbor:"2,keyasint,omitempty"`
 	// Reason tells why the replica was not added.
 	Reason string `cbor:"3,keyasint,omitempty"`
 }
@@ -95,7 +95,7 @@
 	// Identity tells about this replica.
 	Identity func() Identity
 	// Admit decides about a replica that asks to be added.
-	Admit func(ctx context.Context, who quorum.Member) Admission
+	Admit func(ctx context.Context, who quorum.Member) JoinResponse
 	Now   func() time.Time
 	Log   *zap.Logger
 }
@@ -258,7 +258,7 @@
 // Identify asks the replica at addr who it is.
 func (l *Link) Identify(ctx context.Context, addr netip.AddrPort) (Identity, error) {
 	var identity Identity
-	return identity, l.ask(ctx, addr, Identify, openTimeout, &identity)
+	return identity, l.ask(ctx, addr, KindIdentify, openTimeout, &identity)
 }
 
 // joinTimeout bounds a request to be added, which waits for a commit.
@@ -267,16 +267,16 @@
 // Join asks the replica at addr to add this one. It returns the address of the
 // leader where the replica at addr is not it.
 func (l *Link) Join(ctx context.Context, addr netip.AddrPort) (leader netip.AddrPort, err error) {
-	var admission Admission
-	if err := l.ask(ctx, addr, Join, joinTimeout, &admission); err != nil {
+	var admission JoinResponse
+	if err := l.ask(ctx, addr, KindJoin, joinTimeout, &admission); err != nil {
 		return netip.AddrPort{}, err
 	}
 	if admission.Reason != "" {
-		return netip.AddrPort{}, NotAdmitted.New("replica at %s: %s", addr, admission.Reason)
+		return netip.AddrPort{}, ErrJoinRejected.New("replica at %s: %s", addr, admission.Reason)
 	}
-	leader, err = netip.ParseAddrPort(admission.Leader)
+	leader, err = netip.ParseAddrPort(admission.LeaderAddress)
 	if err != nil {
-		return netip.AddrPort{}, NotAdmitted.Wrap(err, "replica at %s names no leader", addr)
+		return netip.AddrPort{}, ErrJoinRejected.Wrap(err, "replica at %s names no leader", addr)
 	}
 	return leader, nil
 }
@@ -314,7 +314,7 @@
 			return nil, err
 		}
 		if len(encoded)+len(p.Data) > maxBatchBytes {
-			return nil, TooLong.New("batch is longer than %d bytes", maxBatchBytes)
+			return nil, ErrBatchTooLong.New("batch is longer than %d bytes", maxBatchBytes)
 		}
 		if !p.More && encoded == nil {
 			encoded = p.Data
--- a/internal/replicalink/link_test.go
+++ b/internal/replicalink/link_test.go
@@ -41,7 +41,7 @@
 	options := Options{
 		Self: quorum.Member{ID: id}, Pool: pool, Now: time.Now, Log: zap.NewNop(),
 		Receive:  func(m []quorum.Message) { e.got <- m },
-		Identity: func() Identity { return Identity{Member: quorum.Member{ID: id}, Group: "control"} },
+		Identity: func() Identity { return Identity{Member: quorum.Member{ID: id}, GroupName: "control"} },
 	}
 	var link *Link
 	ready := make(chan struct{}) // the link needs the server's address
@@ -49,11 +49,11 @@
 		Addr: netip.MustParseAddrPort("127.0.0.1:0"), Log: zap.NewNop(),
 		TLS: identity.ServerTLSFor([]keys.Role{keys.Control, keys.Agent}, peer.Protocol),
 		Handlers: map[string]peer.Handler{
-			Messages: func(ctx context.Context, from keys.Info, s *peer.Stream) {
+			KindMessages: func(ctx context.Context, from keys.Info, s *peer.Stream) {
 				<-ready
 				link.HandleMessages(ctx, from, s)
 			},
-			Identify: func(ctx context.Context, from keys.Info, s *peer.Stream) {
+			KindIdentify: func(ctx context.Context, from keys.Info, s *peer.Stream) {
 				<-ready
 				link.HandleIdentify(ctx, from, s)
 			},
--- a/internal/replicalink/sender.go
+++ b/internal/replicalink/sender.go
@@ -144,7 +144,7 @@
 	if fresh {
 		open = s.link.options.Pool.OpenFresh
 	}
-	stream, err := open(ctx, s.addr, Messages)
+	stream, err := open(ctx, s.addr, KindMessages)
 	if err != nil {
 		return nil, err
 	}
