--- a/internal/replicalink/link.go
+++ b/internal/replicalink/link.go
@@ -1,6 +1,6 @@
 // Package replicalink carries messages between replicas over QUIC streams with
-// mutual TLS. Each replica opens a stream to each other one for messages, and
-// a second one for snapshots, which would hold up heartbeats.
+// mutual TLS. Each replica opens two streams to every other replica: one for
+// messages and one for snapshots, which would delay heartbeats on a shared stream.
 package replicalink
 
 import (
@@ -18,84 +18,87 @@
 	"fulmarmount.org/fulmarmount/internal/peer"
 )
 
-// The kinds of streams.
+// The kinds of streams between replicas.
 const (
-	// KindMessages carries a Hello and then batches of messages one way.
+	// KindMessages carries a Hello and then batches of messages, in one direction.
 	KindMessages = "replica-messages"
-	// KindIdentify carries a Hello one way and an Identity back.
+	// KindIdentify carries a Hello and, in response, an Identity.
 	KindIdentify = "replica-identify"
-	// KindJoin carries a Hello one way and an Admission back.
+	// KindJoin carries a Hello and, in response, a JoinResponse.
 	KindJoin = "replica-join"
 )
 
 // Errors is the namespace of this package's error types.
 var Errors = errorx.NewNamespace("replicalink")
 
-// ErrJoinRejected says that a replica was not added.
+// ErrJoinRejected reports that a replica was not added to the cluster.
 var ErrJoinRejected = Errors.NewType("not_admitted", errorx.Temporary())
 
-// ErrBatchTooLong refuses a batch that is longer than any replica sends.
+// ErrBatchTooLong rejects a batch that exceeds maxBatchBytes.
 var ErrBatchTooLong = Errors.NewType("too_long")
 
 // Hello is the first message of a stream.
 type Hello struct {
-	// From is the sender, with the address where it takes messages.
+	// From is the sender, with the address at which it receives messages.
 	From quorum.Member `cbor:"1,keyasint"`
 }
 
-// Identity is what a replica tells about itself.
+// Identity describes a replica and the cluster that it belongs to.
 type Identity struct {
 	Member quorum.Member `cbor:"1,keyasint"`
-	// GroupName is the operators' name of the control group.
+	// GroupName is the control group's name in the settings.
 	GroupName string `cbor:"2,keyasint"`
-	// Cluster is zero while the replica belongs to none.
+	// Cluster is zero while the replica belongs to no cluster.
 	Cluster quorum.ClusterID `cbor:"3,keyasint"`
-	// InitialMembership is the first membership of a cluster that holds nothing yet.
+	// InitialMembership is the membership in the initial snapshot of a cluster that has
+	// no other state yet.
 	InitialMembership quorum.Membership `cbor:"4,keyasint"`
 }
 
-// JoinResponse answers a replica that asks to be added.
+// JoinResponse is the response to a replica that requests to be added.
 type JoinResponse struct {
 	Accepted bool `cbor:"1,keyasint"`
-	// LeaderAddress is the address of the replica that can add others, where known.
+	// LeaderAddress is the address of the leader, which can add replicas; empty if
+	// unknown.
 	LeaderAddress string `cbor:"2,keyasint,omitempty"`
-	// Reason tells why the replica was not added.
+	// Reason states why the replica was not added.
 	Reason string `cbor:"3,keyasint,omitempty"`
 }
 
-// part is a piece of an encoded batch; batches may exceed one peer message.
-type part struct {
+// chunk is a part of an encoded batch, which may exceed the size limit of a peer
+// message.
+type chunk struct {
 	Data []byte `cbor:"1,keyasint"`
 	More bool   `cbor:"2,keyasint,omitempty"`
 }
 
 const (
-	maxPartBytes  = 1 << 20
+	maxChunkBytes = 1 << 20
 	maxBatchBytes = 256 << 20
-	queueBatches  = 256
-	// openTimeout bounds the opening of a stream.
+	queueCapacity = 256
+	// openTimeout bounds an attempt to open a stream.
 	openTimeout = 3 * time.Second
-	// writeTimeout bounds the writing of one part.
+	// writeTimeout bounds the write of one chunk.
 	writeTimeout = 5 * time.Second
-	// retryDelay is the pause after a stream could not be opened.
+	// retryDelay is the delay after a failed attempt to open a stream.
 	retryDelay = 200 * time.Millisecond
-	// silence is how long a peer may be sent to without an answer before its
-	// connection is replaced by one from a new port.
-	silence = 1500 * time.Millisecond
+	// unresponsiveTimeout is the time without a message from a replica after which the
+	// next send replaces its connection with one from a new port.
+	unresponsiveTimeout = 1500 * time.Millisecond
 )
 
-// Options configure a Link.
+// Options configures a Link.
 type Options struct {
-	// Self is this replica, with the address where others reach it.
+	// Self is this replica, with the address at which others reach it.
 	Self quorum.Member
 	// Pool connects to other replicas.
 	Pool *peer.Pool
-	// Receive takes the messages that arrive, from several goroutines.
+	// Receive is called with received messages, concurrently by several goroutines.
 	Receive func([]quorum.Message)
-	// Identity tells about this replica.
+	// Identity returns this replica's identity.
 	Identity func() Identity
-	// Admit decides about a replica that asks to be added.
-	Admit func(ctx context.Context, who quorum.Member) JoinResponse
+	// Admit handles the request of a replica to be added.
+	Admit func(ctx context.Context, joining quorum.Member) JoinResponse
 	Now   func() time.Time
 	Log   *zap.Logger
 }
@@ -107,25 +110,25 @@
 	cancel  context.CancelFunc
 	running sync.WaitGroup
 
-	mu      sync.Mutex
-	closed  bool
-	routes  map[quorum.ReplicaID]netip.AddrPort // learnt from streams
-	senders map[netip.AddrPort]*sender
-	heard   map[netip.AddrPort]time.Time
+	mu           sync.Mutex
+	closed       bool
+	learnedAddrs map[quorum.ReplicaID]netip.AddrPort // from the Hellos of incoming streams
+	senders      map[netip.AddrPort]*sender
+	lastReceived map[netip.AddrPort]time.Time
 }
 
-// New returns a Link that dials when there is something to send.
+// New returns a Link. It connects to a replica at the first message to it.
 func New(o Options) *Link {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Link{
 		options: o, ctx: ctx, cancel: cancel,
-		routes:  make(map[quorum.ReplicaID]netip.AddrPort),
-		senders: make(map[netip.AddrPort]*sender),
-		heard:   make(map[netip.AddrPort]time.Time),
+		learnedAddrs: make(map[quorum.ReplicaID]netip.AddrPort),
+		senders:      make(map[netip.AddrPort]*sender),
+		lastReceived: make(map[netip.AddrPort]time.Time),
 	}
 }
 
-// Close ends all sending.
+// Close stops sending and waits for the senders to return.
 func (l *Link) Close() {
 	l.mu.Lock()
 	l.closed = true
@@ -134,29 +137,30 @@
 	l.running.Wait()
 }
 
-// Send implements replica.Transport. Messages beyond a full queue are dropped.
+// Send implements replica.Transport. It drops messages if the queue is full or the
+// address is unknown.
 func (l *Link) Send(to quorum.Member, messages []quorum.Message) {
-	addr, ok := l.address(to)
+	addr, ok := l.resolveAddr(to)
 	if !ok {
 		return
 	}
-	s := l.sender(addr)
+	s := l.senderFor(addr)
 	if s == nil {
 		return
 	}
-	var small, large []quorum.Message
+	var regular, snapshots []quorum.Message
 	for i := range messages {
 		if messages[i].Snapshot != nil {
-			large = append(large, messages[i])
+			snapshots = append(snapshots, messages[i])
 		} else {
-			small = append(small, messages[i])
+			regular = append(regular, messages[i])
 		}
 	}
-	offer(s.messages, small)
-	offer(s.snapshots, large)
+	enqueue(s.messages, regular)
+	enqueue(s.snapshots, snapshots)
 }
 
-func offer(queue chan []quorum.Message, messages []quorum.Message) {
+func enqueue(queue chan []quorum.Message, messages []quorum.Message) {
 	if len(messages) == 0 {
 		return
 	}
@@ -166,18 +170,19 @@
 	}
 }
 
-// address prefers the membership's address to one that was learnt.
-func (l *Link) address(to quorum.Member) (netip.AddrPort, bool) {
+// resolveAddr returns a member's address. The address in the membership takes
+// precedence over a learned one.
+func (l *Link) resolveAddr(to quorum.Member) (netip.AddrPort, bool) {
 	if addr, err := netip.ParseAddrPort(to.Address); err == nil {
 		return addr, true
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	addr, ok := l.routes[to.ID]
+	addr, ok := l.learnedAddrs[to.ID]
 	return addr, ok
 }
 
-func (l *Link) sender(addr netip.AddrPort) *sender {
+func (l *Link) senderFor(addr netip.AddrPort) *sender {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
@@ -193,97 +198,98 @@
 	return s
 }
 
-// HandleMessages serves a stream of kind Messages.
+// HandleMessages serves a stream of kind KindMessages.
 func (l *Link) HandleMessages(_ context.Context, from keys.Info, s *peer.Stream) {
-	hello, ok := l.greet(from, s)
+	hello, ok := l.receiveHello(from, s)
 	if !ok {
 		return
 	}
 	addr, err := netip.ParseAddrPort(hello.From.Address)
 	if err != nil {
-		l.options.Log.Warn("Refused a replica without an address.", zap.String("peer", from.Name), zap.Error(err))
+		l.options.Log.Warn("Rejected a message stream: the replica's address is invalid.", zap.String("peer", from.Name), zap.Error(err))
 		return
 	}
-	l.greeted(hello.From.ID, addr)
+	l.recordHello(hello.From.ID, addr)
 	for {
-		messages, err := receive(s)
+		messages, err := receiveBatch(s)
 		if err != nil {
 			return
 		}
 		l.mu.Lock()
-		l.heard[addr] = l.options.Now()
+		l.lastReceived[addr] = l.options.Now()
 		l.mu.Unlock()
 		l.options.Receive(messages)
 	}
 }
 
-// greeted notes the address of a replica that can be reached now.
-func (l *Link) greeted(id quorum.ReplicaID, addr netip.AddrPort) {
+// recordHello stores the address of a replica that opened a stream, and so is
+// reachable now.
+func (l *Link) recordHello(id quorum.ReplicaID, addr netip.AddrPort) {
 	l.mu.Lock()
-	l.routes[id] = addr
+	l.learnedAddrs[id] = addr
 	s := l.senders[addr]
 	l.mu.Unlock()
 	if s != nil {
-		s.greeted()
+		s.signalHello()
 	}
 }
 
-// HandleIdentify serves a stream of kind Identify.
+// HandleIdentify serves a stream of kind KindIdentify.
 func (l *Link) HandleIdentify(_ context.Context, from keys.Info, s *peer.Stream) {
-	if _, ok := l.greet(from, s); ok {
-		_ = s.Send(l.options.Identity()) // an error is the peer's loss
+	if _, ok := l.receiveHello(from, s); ok {
+		_ = s.Send(l.options.Identity()) // on an error the peer's request fails
 	}
 }
 
-// HandleJoin serves a stream of kind Join.
+// HandleJoin serves a stream of kind KindJoin.
 func (l *Link) HandleJoin(ctx context.Context, from keys.Info, s *peer.Stream) {
-	hello, ok := l.greet(from, s)
+	hello, ok := l.receiveHello(from, s)
 	if !ok {
 		return
 	}
-	_ = s.Send(l.options.Admit(ctx, hello.From)) // an error is the peer's loss
+	_ = s.Send(l.options.Admit(ctx, hello.From)) // on an error the peer's request fails
 }
 
-// greet reads the Hello of a control process; others are refused.
-func (l *Link) greet(from keys.Info, s *peer.Stream) (Hello, bool) {
+// receiveHello reads the Hello of a stream. It rejects peers without the control role.
+func (l *Link) receiveHello(from keys.Info, s *peer.Stream) (Hello, bool) {
 	var hello Hello
 	if !from.Allows(keys.Control) {
-		l.options.Log.Warn("Refused a process that is no control process.", zap.String("peer", from.Name))
+		l.options.Log.Warn("Rejected a replica stream: the peer does not have the control role.", zap.String("peer", from.Name))
 		s.Abort()
 		return hello, false
 	}
 	return hello, s.Recv(&hello) == nil
 }
 
-// Identify asks the replica at addr who it is.
+// Identify requests the identity of the replica at addr.
 func (l *Link) Identify(ctx context.Context, addr netip.AddrPort) (Identity, error) {
 	var identity Identity
-	return identity, l.ask(ctx, addr, KindIdentify, openTimeout, &identity)
+	return identity, l.request(ctx, addr, KindIdentify, openTimeout, &identity)
 }
 
-// joinTimeout bounds a request to be added, which waits for a commit.
+// joinTimeout bounds a join request, whose response waits for a commit.
 const joinTimeout = 6 * time.Second
 
-// Join asks the replica at addr to add this one. It returns the address of the
-// leader where the replica at addr is not it.
+// Join requests that the replica at addr add this one to its cluster. It returns the
+// leader's address; if that is not addr, the request must be repeated there.
 func (l *Link) Join(ctx context.Context, addr netip.AddrPort) (leader netip.AddrPort, err error) {
-	var admission JoinResponse
-	if err := l.ask(ctx, addr, KindJoin, joinTimeout, &admission); err != nil {
+	var response JoinResponse
+	if err := l.request(ctx, addr, KindJoin, joinTimeout, &response); err != nil {
 		return netip.AddrPort{}, err
 	}
-	if admission.Reason != "" {
-		return netip.AddrPort{}, ErrJoinRejected.New("replica at %s: %s", addr, admission.Reason)
+	if response.Reason != "" {
+		return netip.AddrPort{}, ErrJoinRejected.New("replica at %s rejected the join request: %s", addr, response.Reason)
 	}
-	leader, err = netip.ParseAddrPort(admission.LeaderAddress)
+	leader, err = netip.ParseAddrPort(response.LeaderAddress)
 	if err != nil {
-		return netip.AddrPort{}, ErrJoinRejected.Wrap(err, "replica at %s names no leader", addr)
+		return netip.AddrPort{}, ErrJoinRejected.Wrap(err, "replica at %s returned no leader with a valid address", addr)
 	}
 	return leader, nil
 }
 
-// ask sends a Hello on a stream of a kind and reads the answer.
-func (l *Link) ask(ctx context.Context, addr netip.AddrPort, kind string, limit time.Duration, answer any) error {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+// request sends a Hello on a stream of a kind and reads the response.
+func (l *Link) request(ctx context.Context, addr netip.AddrPort, kind string, timeout time.Duration, response any) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	s, err := l.options.Pool.Open(ctx, addr, kind)
 	if err != nil {
@@ -295,33 +301,33 @@
 	if err := s.Send(Hello{From: l.options.Self}); err != nil {
 		return err
 	}
-	return s.Recv(answer)
+	return s.Recv(response)
 }
 
-// lastHeard returns when a message from addr arrived last.
-func (l *Link) lastHeard(addr netip.AddrPort) time.Time {
+// lastReceivedAt returns the time of the latest message from addr.
+func (l *Link) lastReceivedAt(addr netip.AddrPort) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.heard[addr]
+	return l.lastReceived[addr]
 }
 
-// receive reads one batch.
-func receive(s *peer.Stream) ([]quorum.Message, error) {
+// receiveBatch reads the chunks of one batch.
+func receiveBatch(s *peer.Stream) ([]quorum.Message, error) {
 	var encoded []byte
 	for {
-		var p part
-		if err := s.Recv(&p); err != nil {
+		var c chunk
+		if err := s.Recv(&c); err != nil {
 			return nil, err
 		}
-		if len(encoded)+len(p.Data) > maxBatchBytes {
-			return nil, ErrBatchTooLong.New("batch is longer than %d bytes", maxBatchBytes)
+		if len(encoded)+len(c.Data) > maxBatchBytes {
+			return nil, ErrBatchTooLong.New("batch is longer than the maximum of %d bytes", maxBatchBytes)
 		}
-		if !p.More && encoded == nil {
-			encoded = p.Data
+		if !c.More && encoded == nil {
+			encoded = c.Data
 			break
 		}
-		encoded = append(encoded, p.Data...)
-		if !p.More {
+		encoded = append(encoded, c.Data...)
+		if !c.More {
 			break
 		}
 	}
@@ -330,11 +336,11 @@
 
 func decodeBatch(encoded []byte) ([]quorum.Message, error) {
 	var messages []quorum.Message
-	err := decoding.Unmarshal(encoded, &messages)
+	err := decMode.Unmarshal(encoded, &messages)
 	return messages, err
 }
 
-var decoding = func() cbor.DecMode {
+var decMode = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{MaxArrayElements: 1 << 20, IndefLength: cbor.IndefLengthForbidden}.DecMode()
 	if err != nil {
 		panic(err) // the options are constants
--- a/internal/replicalink/link_test.go
+++ b/internal/replicalink/link_test.go
@@ -19,16 +19,16 @@
 	"fulmarmount.org/fulmarmount/internal/peer"
 )
 
-const patience = 20 * time.Second
+const receiveTimeout = 20 * time.Second
 
-// end is one replica's link with its server.
-type end struct {
-	link *Link
-	addr netip.AddrPort
-	got  chan []quorum.Message
+// testReplica is the link and the server of one replica.
+type testReplica struct {
+	link     *Link
+	addr     netip.AddrPort
+	received chan []quorum.Message
 }
 
-func newEnd(t *testing.T, set *keys.Set, id quorum.ReplicaID, role keys.Role) *end {
+func newTestReplica(t *testing.T, set *keys.Set, id quorum.ReplicaID, role keys.Role) *testReplica {
 	t.Helper()
 	identity, err := set.Identity(id.String(), time.Now(), role)
 	if err != nil {
@@ -37,10 +37,10 @@
 	pool := peer.NewPool(func() *tls.Config {
 		return identity.ClientTLSFor("", []keys.Role{keys.Control}, peer.Protocol)
 	})
-	e := &end{got: make(chan []quorum.Message, 100)}
+	r := &testReplica{received: make(chan []quorum.Message, 100)}
 	options := Options{
 		Self: quorum.Member{ID: id}, Pool: pool, Now: time.Now, Log: zap.NewNop(),
-		Receive:  func(m []quorum.Message) { e.got <- m },
+		Receive:  func(m []quorum.Message) { r.received <- m },
 		Identity: func() Identity { return Identity{Member: quorum.Member{ID: id}, GroupName: "control"} },
 	}
 	var link *Link
@@ -62,104 +62,106 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	e.addr = server.Addr()
-	options.Self.Address = e.addr.String()
+	r.addr = server.Addr()
+	options.Self.Address = r.addr.String()
 	link = New(options)
 	close(ready)
-	e.link = link
+	r.link = link
 	t.Cleanup(func() {
 		link.Close()
 		_ = server.Close()
 		pool.Close()
 	})
-	return e
+	return r
 }
 
-func (e *end) receive(t *testing.T) []quorum.Message {
+func (r *testReplica) receive(t *testing.T) []quorum.Message {
 	t.Helper()
 	select {
-	case m := <-e.got:
+	case m := <-r.received:
 		return m
-	case <-time.After(patience):
-		t.Fatal("nothing arrived")
+	case <-time.After(receiveTimeout):
+		t.Fatal("no messages received in time")
 		return nil
 	}
 }
 
-func TestMessagesAndSnapshotsArrive(t *testing.T) {
+func TestLinkDeliversMessagesAndSnapshots(t *testing.T) {
 	is := is.New(t)
 	set, err := keys.Ephemeral(time.Now())
 	is.NoErr(err)
-	a, b := newEnd(t, set, 1, keys.Control), newEnd(t, set, 2, keys.Control)
-	state := bytes.Repeat([]byte("state"), maxPartBytes) // several parts
-	large := quorum.Message{Type: quorum.MsgSnapshot, From: 1, To: 2, Snapshot: &quorum.Snapshot{Index: 9, Data: state}}
-	a.link.Send(quorum.Member{ID: 2, Address: b.addr.String()}, []quorum.Message{large})
+	a, b := newTestReplica(t, set, 1, keys.Control), newTestReplica(t, set, 2, keys.Control)
+	state := bytes.Repeat([]byte("state"), maxChunkBytes) // several chunks
+	snapshot := quorum.Message{Type: quorum.MsgSnapshot, From: 1, To: 2, Snapshot: &quorum.Snapshot{Index: 9, Data: state}}
+	a.link.Send(quorum.Member{ID: 2, Address: b.addr.String()}, []quorum.Message{snapshot})
 	got := b.receive(t)
 	is.Equal(got[0].Snapshot.Index, uint64(9))
 	is.True(bytes.Equal(got[0].Snapshot.Data, state))
 
-	// The receiver answers by the address that it learnt.
+	// The receiver responds to the address in the Hello.
 	entry := quorum.Entry{Index: 3, Term: 2, Change: &quorum.ConfChange{Op: quorum.PromoteLearner, Member: quorum.Member{ID: 7}}}
-	answer := quorum.Message{Type: quorum.MsgAppend, From: 2, To: 1, Entries: []quorum.Entry{entry}}
-	b.link.Send(quorum.Member{ID: 1}, []quorum.Message{answer})
-	is.Equal(a.receive(t), []quorum.Message{answer})
+	response := quorum.Message{Type: quorum.MsgAppend, From: 2, To: 1, Entries: []quorum.Entry{entry}}
+	b.link.Send(quorum.Member{ID: 1}, []quorum.Message{response})
+	is.Equal(a.receive(t), []quorum.Message{response})
 
 	identity, err := a.link.Identify(context.Background(), b.addr)
 	is.NoErr(err)
 	is.Equal(identity.Member.ID, quorum.ReplicaID(2))
-	b.link.Send(quorum.Member{ID: 99}, []quorum.Message{answer}) // no route; dropped
+	b.link.Send(quorum.Member{ID: 99}, []quorum.Message{response}) // dropped: the address is unknown
 }
 
-// A replica that opens a stream can be reached, whatever was tried before: the
-// clock stands still here, so no pause between attempts ever passes.
-func TestReplicaThatIsGreetedIsTriedAtOnce(t *testing.T) {
+// A replica that opened a stream is reachable, so the retry delay after a failed
+// attempt must not apply. The clock is stopped: the delay never elapses.
+func TestHelloSkipsRetryDelay(t *testing.T) {
 	is := is.New(t)
 	set, err := keys.Ephemeral(time.Now())
 	is.NoErr(err)
-	a, b := newEnd(t, set, 1, keys.Control), newEnd(t, set, 2, keys.Control)
-	stopped := time.Now()
-	a.link.options.Now = func() time.Time { return stopped }
-	s := a.link.sender(b.addr)
-	out := &outgoing{failed: stopped, hello: s.nextHello()}
-	is.True(!s.open(out, stopped)) // an attempt failed just now
+	a, b := newTestReplica(t, set, 1, keys.Control), newTestReplica(t, set, 2, keys.Control)
+	now := time.Now()
+	a.link.options.Now = func() time.Time { return now }
+	s := a.link.senderFor(b.addr)
+	out := &outgoingStream{openFailedAt: now, nextHello: s.nextHello()}
+	is.True(!s.ensureOpen(out, now)) // within the retry delay
 
-	to := []quorum.Message{{Type: quorum.MsgPreVote, From: 2, To: 1}}
-	b.link.Send(quorum.Member{ID: 1, Address: a.addr.String()}, to)
-	is.Equal(a.receive(t), to)
-	is.True(s.open(out, stopped))
-	s.drop(out)
+	messages := []quorum.Message{{Type: quorum.MsgPreVote, From: 2, To: 1}}
+	b.link.Send(quorum.Member{ID: 1, Address: a.addr.String()}, messages)
+	is.Equal(a.receive(t), messages)
+	is.True(s.ensureOpen(out, now))
+	s.closeStream(out)
 }
 
-// An attempt that began before the replica was there is not waited for.
-func TestGreetingOvertakesAnAttempt(t *testing.T) {
+// An attempt to open a stream that began before the replica was reachable must not
+// delay messages until openTimeout: a Hello from the replica cancels it.
+func TestHelloCancelsPendingOpen(t *testing.T) {
 	is := is.New(t)
 	set, err := keys.Ephemeral(time.Now())
 	is.NoErr(err)
-	a := newEnd(t, set, 1, keys.Control)
-	silent, err := net.ListenPacket("udp4", "127.0.0.1:0") // takes packets and never answers
+	a := newTestReplica(t, set, 1, keys.Control)
+	unresponsive, err := net.ListenPacket("udp4", "127.0.0.1:0") // receives packets and never responds
 	is.NoErr(err)
-	defer func() { _ = silent.Close() }()
-	s := a.link.sender(netip.MustParseAddrPort(silent.LocalAddr().String()))
+	defer func() { _ = unresponsive.Close() }()
+	s := a.link.senderFor(netip.MustParseAddrPort(unresponsive.LocalAddr().String()))
 	hello := s.nextHello()
-	ended := make(chan error, 1)
+	errs := make(chan error, 1)
 	go func() {
-		_, err := s.attempt(hello, false)
-		ended <- err
+		_, err := s.openStream(hello, false)
+		errs <- err
 	}()
-	a.link.greeted(2, s.addr)
-	is.True(strings.Contains((<-ended).Error(), context.Canceled.Error())) // not its time limit
+	a.link.recordHello(2, s.addr)
+	is.True(strings.Contains((<-errs).Error(), context.Canceled.Error())) // rather than openTimeout
 }
 
-func TestOtherRolesAreRefused(t *testing.T) {
+func TestNonControlRolesAreRejected(t *testing.T) {
 	is := is.New(t)
 	set, err := keys.Ephemeral(time.Now())
 	is.NoErr(err)
-	agent, control := newEnd(t, set, 1, keys.Agent), newEnd(t, set, 2, keys.Control)
+	agent, control := newTestReplica(t, set, 1, keys.Agent), newTestReplica(t, set, 2, keys.Control)
 	_, err = agent.link.Identify(context.Background(), control.addr)
 	is.True(err != nil)
 }
 
-// FuzzDecodeBatch expects that what decodes encodes to the same messages.
+// FuzzDecodeBatch checks that messages that decode from arbitrary input survive a
+// round trip: encoding and decoding them again yields the same encoding.
 func FuzzDecodeBatch(f *testing.F) {
 	seed, err := cbor.Marshal([]quorum.Message{{Type: quorum.MsgAppend, Entries: []quorum.Entry{{Index: 1}}}, {Snapshot: &quorum.Snapshot{}}})
 	if err != nil {
--- a/internal/replicalink/sender.go
+++ b/internal/replicalink/sender.go
@@ -13,7 +13,7 @@
 	"fulmarmount.org/fulmarmount/internal/peer"
 )
 
-// sender sends to one address.
+// sender sends messages and snapshots to the replica at one address.
 type sender struct {
 	link      *Link
 	addr      netip.AddrPort
@@ -21,116 +21,120 @@
 	snapshots chan []quorum.Message
 
 	mu sync.Mutex
-	// hello is closed when the replica at addr next opens a stream to this one.
-	hello chan struct{}
+	// helloReceived is closed and replaced when the replica at addr opens a stream to
+	// this one.
+	helloReceived chan struct{}
 }
 
 func newSender(l *Link, addr netip.AddrPort) *sender {
 	return &sender{
 		link: l, addr: addr,
-		messages:  make(chan []quorum.Message, queueBatches),
-		snapshots: make(chan []quorum.Message, 1),
-		hello:     make(chan struct{}),
+		messages:      make(chan []quorum.Message, queueCapacity),
+		snapshots:     make(chan []quorum.Message, 1),
+		helloReceived: make(chan struct{}),
 	}
 }
 
-// greeted notes that the replica has opened a stream to this one: it can be
-// reached now, and attempts that began before need not be waited for.
-func (s *sender) greeted() {
+// signalHello signals that the replica opened a stream to this one. The replica is
+// reachable now, so pending attempts to open a stream are canceled and repeated.
+func (s *sender) signalHello() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	close(s.hello)
-	s.hello = make(chan struct{})
+	close(s.helloReceived)
+	s.helloReceived = make(chan struct{})
 }
 
+// nextHello returns a channel that is closed at the next Hello from the replica.
 func (s *sender) nextHello() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.hello
+	return s.helloReceived
 }
 
-// outgoing is the stream of one queue.
-type outgoing struct {
-	stream *peer.Stream
-	opened time.Time
-	failed time.Time       // of the last attempt to open it, if it failed
-	hello  <-chan struct{} // closed if the replica was greeted since that attempt
-	fresh  bool            // the next stream is to use a new connection
+// outgoingStream is the stream of one queue.
+type outgoingStream struct {
+	stream               *peer.Stream
+	openedAt             time.Time
+	openFailedAt         time.Time       // time of the latest failed attempt to open it
+	nextHello            <-chan struct{} // closed if a Hello was received since the latest attempt
+	needsReplacementConn bool            // the next stream replaces the connection
 }
 
-// run sends what queue holds until the link closes.
+// run sends the batches of a queue until the link closes.
 func (s *sender) run(queue <-chan []quorum.Message) {
-	var out outgoing
-	defer func() { s.drop(&out) }()
+	var out outgoingStream
+	defer func() { s.closeStream(&out) }()
 	for {
 		select {
 		case <-s.link.ctx.Done():
 			return
 		case batch := <-queue:
-			s.write(&out, gather(batch, queue))
+			s.write(&out, coalesce(batch, queue))
 		}
 	}
 }
 
-// gather adds what else is queued.
-func gather(batch []quorum.Message, queue <-chan []quorum.Message) []quorum.Message {
+// coalesce appends all queued messages to batch.
+func coalesce(batch []quorum.Message, queue <-chan []quorum.Message) []quorum.Message {
 	for {
 		select {
-		case more := <-queue:
-			batch = append(batch[:len(batch):len(batch)], more...)
+		case next := <-queue:
+			batch = append(batch[:len(batch):len(batch)], next...)
 		default:
 			return batch
 		}
 	}
 }
 
-// write sends a batch or drops it.
-func (s *sender) write(out *outgoing, batch []quorum.Message) {
+// write sends a batch. It drops the batch if the stream cannot be opened or fails;
+// the protocol retransmits.
+func (s *sender) write(out *outgoingStream, batch []quorum.Message) {
 	now := s.link.options.Now()
-	if out.stream != nil && now.Sub(latest(out.opened, s.link.lastHeard(s.addr))) > silence {
-		s.drop(out)
-		out.fresh = true
+	if out.stream != nil && now.Sub(later(out.openedAt, s.link.lastReceivedAt(s.addr))) > unresponsiveTimeout {
+		s.closeStream(out)
+		out.needsReplacementConn = true
 	}
-	if out.stream == nil && !s.open(out, now) {
+	if out.stream == nil && !s.ensureOpen(out, now) {
 		return
 	}
-	if err := send(out.stream, batch); err != nil {
-		s.link.options.Log.Debug("Lost a stream.", zap.Stringer("replica", s.addr), zap.Error(err))
-		s.drop(out)
+	if err := sendBatch(out.stream, batch); err != nil {
+		s.link.options.Log.Debug("Stream to a replica failed; dropped the batch.", zap.Stringer("replica", s.addr), zap.Error(err))
+		s.closeStream(out)
 	}
 }
 
-func latest(a, b time.Time) time.Time {
+func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
 	return b
 }
 
-// open opens the stream unless an attempt failed just now. An attempt that the
-// replica's own stream overtakes is made anew.
-func (s *sender) open(out *outgoing, now time.Time) bool {
-	if now.Sub(out.failed) < retryDelay && !isClosed(out.hello) {
+// ensureOpen opens the stream and reports whether it succeeded. It makes no attempt
+// within retryDelay of a failed one, unless a Hello was received since. An attempt
+// that a Hello canceled is repeated once.
+func (s *sender) ensureOpen(out *outgoingStream, now time.Time) bool {
+	if now.Sub(out.openFailedAt) < retryDelay && !isClosed(out.nextHello) {
 		return false
 	}
-	out.hello = s.nextHello()
-	stream, err := s.attempt(out.hello, out.fresh)
-	if err != nil && isClosed(out.hello) {
-		out.hello = s.nextHello()
-		stream, err = s.attempt(out.hello, out.fresh)
+	out.nextHello = s.nextHello()
+	stream, err := s.openStream(out.nextHello, out.needsReplacementConn)
+	if err != nil && isClosed(out.nextHello) {
+		out.nextHello = s.nextHello()
+		stream, err = s.openStream(out.nextHello, out.needsReplacementConn)
 	}
 	if err != nil {
-		s.link.options.Log.Debug("Cannot reach a replica.", zap.Stringer("replica", s.addr), zap.Error(err))
-		out.failed = s.link.options.Now()
+		s.link.options.Log.Debug("Could not open a stream to a replica; dropped the batch.", zap.Stringer("replica", s.addr), zap.Error(err))
+		out.openFailedAt = s.link.options.Now()
 		return false
 	}
-	out.stream, out.opened, out.fresh = stream, s.link.options.Now(), false
+	out.stream, out.openedAt, out.needsReplacementConn = stream, s.link.options.Now(), false
 	return true
 }
 
-// attempt opens a stream until openTimeout has passed or hello is closed; on a new
-// connection where fresh is set.
-func (s *sender) attempt(hello <-chan struct{}, fresh bool) (*peer.Stream, error) {
+// openStream opens a stream, on a new connection if replaceConn is set. The attempt is
+// canceled after openTimeout or when hello is closed.
+func (s *sender) openStream(hello <-chan struct{}, replaceConn bool) (*peer.Stream, error) {
 	ctx, cancel := context.WithTimeout(s.link.ctx, openTimeout)
 	defer cancel()
 	go func() {
@@ -141,7 +145,7 @@
 		}
 	}()
 	open := s.link.options.Pool.Open
-	if fresh {
+	if replaceConn {
 		open = s.link.options.Pool.OpenFresh
 	}
 	stream, err := open(ctx, s.addr, KindMessages)
@@ -164,25 +168,25 @@
 	}
 }
 
-func (s *sender) drop(out *outgoing) {
+func (s *sender) closeStream(out *outgoingStream) {
 	if out.stream != nil {
 		out.stream.Abort()
 		out.stream = nil
 	}
 }
 
-// send writes one batch in parts.
-func send(stream *peer.Stream, batch []quorum.Message) error {
+// sendBatch writes one batch in chunks.
+func sendBatch(stream *peer.Stream, batch []quorum.Message) error {
 	encoded, err := cbor.Marshal(batch)
 	if err != nil {
 		return err
 	}
 	for first := true; first || len(encoded) > 0; first = false {
-		n := min(len(encoded), maxPartBytes)
+		n := min(len(encoded), maxChunkBytes)
 		if err := stream.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 			return err
 		}
-		if err := stream.Send(part{Data: encoded[:n], More: n < len(encoded)}); err != nil {
+		if err := stream.Send(chunk{Data: encoded[:n], More: n < len(encoded)}); err != nil {
 			return err
 		}
 		encoded = encoded[n:]
