--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -23,10 +23,10 @@
 )
 
 func options(t *testing.T) Options {
-	machine := fleetstore.NewMachine()
+	machine := fleetstore.NewStateMachine()
 	return Options{
 		Name: "vm-1", Socket: filepath.Join(t.TempDir(), "admin.sock"),
-		Store: fleetstore.NewStore(fleetstore.NewLocal(machine), machine),
+		Store: fleetstore.NewStore(fleetstore.NewLocalLog(machine), machine),
 		Now:   time.Now, Log: zap.NewNop(),
 	}
 }
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -50,7 +50,7 @@
 func (c *control) Propose(ctx context.Context, command fleet.Command) (fleet.Result, error) {
 	result, err := c.Store.Propose(ctx, command)
 	if c.lost.Add(-1) >= 0 {
-		return fleet.Result{}, fleetstore.ErrPropose.New("the leader is gone")
+		return fleet.Result{}, fleetstore.ErrOutcomeUnknown.New("the leader is gone")
 	}
 	return result, err
 }
@@ -101,8 +101,8 @@
 func newBench(t *testing.T) *bench {
 	t.Helper()
 	dir := t.TempDir()
-	machine := fleetstore.NewMachine()
-	c := &control{Store: fleetstore.NewStore(fleetstore.NewLocal(machine), machine)}
+	machine := fleetstore.NewStateMachine()
+	c := &control{Store: fleetstore.NewStore(fleetstore.NewLocalLog(machine), machine)}
 	set, err := keys.Ephemeral(time.Now())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/fleetstore/codec.go
+++ b/internal/fleetstore/codec.go
@@ -15,9 +15,9 @@
 var (
 	// ErrCodec is the type for bytes that do not decode.
 	ErrCodec = namespace.NewType("codec")
-	// ErrPropose is the type for commands whose result is unknown: they may
+	// ErrOutcomeUnknown is the type for commands whose result is unknown: they may
 	// still take effect. A resend with the same request ID is safe.
-	ErrPropose = namespace.NewType("propose", errorx.Temporary())
+	ErrOutcomeUnknown = namespace.NewType("propose", errorx.Temporary())
 )
 
 // maxItems bounds the items of a decoded array or map.
--- a/internal/fleetstore/fleetstore_test.go
+++ b/internal/fleetstore/fleetstore_test.go
@@ -36,8 +36,8 @@
 
 func TestStateOutlivesEncodingAndSnapshots(t *testing.T) {
 	is := is.New(t)
-	ctx, machine := context.Background(), NewMachine()
-	store := NewStore(NewLocal(machine), machine)
+	ctx, machine := context.Background(), NewStateMachine()
+	store := NewStore(NewLocalLog(machine), machine)
 	changed := machine.Changed()
 	first, err := store.Propose(ctx, command("a", 0))
 	is.NoErr(err)
@@ -46,7 +46,7 @@
 
 	snapshot, err := machine.Snapshot()
 	is.NoErr(err)
-	restored := NewMachine()
+	restored := NewStateMachine()
 	is.NoErr(restored.Restore(snapshot))
 	again, err := restored.Snapshot()
 	is.NoErr(err)
@@ -66,7 +66,7 @@
 
 func TestUndecodableCommandsTakeTheirIndexAndAreRefused(t *testing.T) {
 	is := is.New(t)
-	m := NewMachine()
+	m := NewStateMachine()
 	result, err := DecodeResult(m.Apply(7, []byte{0xff, 0x00}))
 	is.NoErr(err)
 	is.Equal(result.Outcome, fleet.OutcomeInvalid)
@@ -75,7 +75,7 @@
 	m.Read(func(f *fleet.StateMachine) { is.Equal(f.Index(), uint64(7)) })
 }
 
-type lostLog struct{ Local }
+type lostLog struct{ LocalLog }
 
 func (*lostLog) Propose(context.Context, []byte) ([]byte, error) {
 	return nil, errors.New("no leader")
@@ -83,20 +83,20 @@
 
 func TestALostAnswerIsOfUnknownResult(t *testing.T) {
 	is := is.New(t)
-	_, err := NewStore(&lostLog{}, NewMachine()).Propose(context.Background(), command("a", 0))
-	is.True(errorx.IsOfType(err, ErrPropose))
+	_, err := NewStore(&lostLog{}, NewStateMachine()).Propose(context.Background(), command("a", 0))
+	is.True(errorx.IsOfType(err, ErrOutcomeUnknown))
 	is.True(errorx.IsTemporary(err))
 }
 
 func FuzzDecoders(f *testing.F) {
-	machine := NewMachine()
+	machine := NewStateMachine()
 	data, _ := EncodeCommand(command("a", 0))
 	machine.Apply(1, data)
 	snapshot, _ := machine.Snapshot()
 	f.Add(data)
 	f.Add(snapshot)
 	f.Fuzz(func(t *testing.T, data []byte) {
-		m := NewMachine()
+		m := NewStateMachine()
 		if _, err := DecodeResult(m.Apply(1, data)); err != nil {
 			t.Fatalf("result does not decode: %v", err)
 		}
--- a/internal/fleetstore/machine.go
+++ b/internal/fleetstore/machine.go
@@ -6,22 +6,22 @@
 	"fulmarmount.org/core/fleet"
 )
 
-// Machine is the state machine of a replica. It is safe for concurrent use.
-type Machine struct {
+// StateMachine is the state machine of a replica. It is safe for concurrent use.
+type StateMachine struct {
 	mu      sync.RWMutex
 	fleet   *fleet.StateMachine
 	changed chan struct{}
 }
 
-// NewMachine returns the state before the first command.
-func NewMachine() *Machine {
-	return &Machine{fleet: fleet.New(), changed: make(chan struct{})}
+// NewStateMachine returns the state before the first command.
+func NewStateMachine() *StateMachine {
+	return &StateMachine{fleet: fleet.New(), changed: make(chan struct{})}
 }
 
 // Apply executes the encoded command at a log index and returns the encoded
 // result. A command that does not decode is answered as invalid, equally on
 // every replica.
-func (m *Machine) Apply(index uint64, command []byte) []byte {
+func (m *StateMachine) Apply(index uint64, command []byte) []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	c, err := DecodeCommand(command)
@@ -43,7 +43,7 @@
 }
 
 // Snapshot returns the encoded state.
-func (m *Machine) Snapshot() ([]byte, error) {
+func (m *StateMachine) Snapshot() ([]byte, error) {
 	m.mu.RLock()
 	snapshot := m.fleet.Snapshot()
 	m.mu.RUnlock()
@@ -51,7 +51,7 @@
 }
 
 // Restore replaces the state by an encoded one. On an error it stays as it was.
-func (m *Machine) Restore(data []byte) error {
+func (m *StateMachine) Restore(data []byte) error {
 	snapshot, err := decodeSnapshot(data)
 	if err != nil {
 		return err
@@ -69,21 +69,21 @@
 
 // Read calls read with the state, which read must not keep. What the state
 // returns may be kept.
-func (m *Machine) Read(read func(*fleet.StateMachine)) {
+func (m *StateMachine) Read(read func(*fleet.StateMachine)) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	read(m.fleet)
 }
 
 // Changed returns a channel that is closed at the next change.
-func (m *Machine) Changed() <-chan struct{} {
+func (m *StateMachine) Changed() <-chan struct{} {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.changed
 }
 
 // notify wakes the readers. The caller holds the lock.
-func (m *Machine) notify() {
+func (m *StateMachine) notify() {
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
--- a/internal/fleetstore/store.go
+++ b/internal/fleetstore/store.go
@@ -19,11 +19,11 @@
 // Store gives operators the replicated state.
 type Store struct {
 	log     Log
-	machine *Machine
+	machine *StateMachine
 }
 
 // NewStore returns a store over a log that applies to machine.
-func NewStore(log Log, machine *Machine) *Store { return &Store{log: log, machine: machine} }
+func NewStore(log Log, machine *StateMachine) *Store { return &Store{log: log, machine: machine} }
 
 // Propose runs a command. An error of type ErrPropose leaves its result
 // unknown.
@@ -34,7 +34,7 @@
 	}
 	answer, err := s.log.Propose(ctx, data)
 	if err != nil {
-		return fleet.Result{}, ErrPropose.Wrap(err, "cannot tell whether command %s took effect", c.Kind)
+		return fleet.Result{}, ErrOutcomeUnknown.Wrap(err, "cannot tell whether command %s took effect", c.Kind)
 	}
 	return DecodeResult(answer)
 }
@@ -51,8 +51,8 @@
 // Peek calls read with the state as this process has it, which may lag.
 func (s *Store) Peek(read func(*fleet.StateMachine)) { s.machine.Read(read) }
 
-// ChangeSeats notes which agents there are.
-func (s *Store) ChangeSeats(ctx context.Context, c fleet.RegistrationChange) error {
+// UpdateRegisteredAgents notes which agents there are.
+func (s *Store) UpdateRegisteredAgents(ctx context.Context, c fleet.RegistrationChange) error {
 	_, err := s.Propose(ctx, fleet.Command{Kind: fleet.KindRegistrations, Registrations: &c})
 	return err
 }
@@ -60,20 +60,20 @@
 // Changed returns a channel that is closed at the next change of the state.
 func (s *Store) Changed() <-chan struct{} { return s.machine.Changed() }
 
-// Local is a log of one process, in memory alone: for the embedded default,
+// LocalLog is a log of one process, in memory alone: for the embedded default,
 // whose state ends with its process.
-type Local struct {
-	machine *Machine
+type LocalLog struct {
+	machine *StateMachine
 
 	mu    sync.Mutex
 	index uint64
 }
 
-// NewLocal returns a log that applies to machine.
-func NewLocal(machine *Machine) *Local { return &Local{machine: machine} }
+// NewLocalLog returns a log that applies to machine.
+func NewLocalLog(machine *StateMachine) *LocalLog { return &LocalLog{machine: machine} }
 
 // Propose implements Log.
-func (l *Local) Propose(_ context.Context, command []byte) ([]byte, error) {
+func (l *LocalLog) Propose(_ context.Context, command []byte) ([]byte, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.index++
@@ -81,4 +81,4 @@
 }
 
 // Barrier implements Log.
-func (l *Local) Barrier(ctx context.Context) error { return ctx.Err() }
+func (l *LocalLog) Barrier(ctx context.Context) error { return ctx.Err() }
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -28,9 +28,9 @@
 // openState opens the replicated state of a control process: a replica in the
 // data folder, or without one a state in memory that ends with the process.
 func openState(o *Options) error {
-	machine := fleetstore.NewMachine()
+	machine := fleetstore.NewStateMachine()
 	if o.Settings.DataDir == "" {
-		o.Store = fleetstore.NewStore(fleetstore.NewLocal(machine), machine)
+		o.Store = fleetstore.NewStore(fleetstore.NewLocalLog(machine), machine)
 		return nil
 	}
 	var peers []group.Peer
--- a/internal/node/segments.go
+++ b/internal/node/segments.go
@@ -109,7 +109,7 @@
 		}
 	}
 	if o.Settings.Has(settings.RoleControl) {
-		options.Imports = fleetstore.NewImports(o.Store, o.Now)
+		options.Imports = fleetstore.NewImportStore(o.Store, o.Now)
 	}
 	return options
 }
--- a/internal/role/control/configuration.go
+++ b/internal/role/control/configuration.go
@@ -22,8 +22,8 @@
 	Peek(read func(*fleet.StateMachine))
 	// Changed returns a channel that is closed at the next change.
 	Changed() <-chan struct{}
-	// ChangeSeats notes which agents there are.
-	ChangeSeats(ctx context.Context, c fleet.RegistrationChange) error
+	// UpdateRegisteredAgents adds and removes registered agents.
+	UpdateRegisteredAgents(ctx context.Context, c fleet.RegistrationChange) error
 }
 
 // followDelay bounds the pause before the state is asked for again.
--- a/internal/role/control/seats.go
+++ b/internal/role/control/seats.go
@@ -29,7 +29,7 @@
 func (c *term) replicateSeats(change fleet.RegistrationChange) {
 	ctx, cancel := context.WithTimeout(c.ctx, seatTimeout)
 	defer cancel()
-	err := c.options.Fleet.ChangeSeats(ctx, change)
+	err := c.options.Fleet.UpdateRegisteredAgents(ctx, change)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.seating = false
