--- a/internal/fleetstore/codec.go
+++ b/internal/fleetstore/codec.go
@@ -1,6 +1,5 @@
-// Package fleetstore runs the fleet's state machine under a replicated log:
-// it encodes commands, results and snapshots as CBOR, and guards the state for
-// concurrent readers.
+// Package fleetstore runs the fleet's state machine on a replicated log. It encodes
+// commands, results and snapshots as CBOR and synchronizes access to the state.
 package fleetstore
 
 import (
@@ -13,22 +12,22 @@
 var namespace = errorx.NewNamespace("fleetstore")
 
 var (
-	// ErrCodec is the type for bytes that do not decode.
+	// ErrCodec reports a command, result or snapshot that cannot be encoded or decoded.
 	ErrCodec = namespace.NewType("codec")
-	// ErrOutcomeUnknown is the type for commands whose result is unknown: they may
-	// still take effect. A resend with the same request ID is safe.
+	// ErrOutcomeUnknown reports that a command's result is unknown: the command may
+	// still take effect. A retry with the same request ID is safe.
 	ErrOutcomeUnknown = namespace.NewType("propose", errorx.Temporary())
 )
 
-// maxItems bounds the items of a decoded array or map.
-const maxItems = 1 << 20
+// maxContainerElements bounds the elements of a decoded array or map.
+const maxContainerElements = 1 << 20
 
 var (
-	encoder = mustEncoder()
-	decoder = mustDecoder()
+	encMode = mustEncMode()
+	decMode = mustDecMode()
 )
 
-func mustEncoder() cbor.EncMode {
+func mustEncMode() cbor.EncMode {
 	mode, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
 		panic(err)
@@ -36,11 +35,11 @@
 	return mode
 }
 
-func mustDecoder() cbor.DecMode {
+func mustDecMode() cbor.DecMode {
 	mode, err := cbor.DecOptions{
 		DupMapKey:        cbor.DupMapKeyEnforcedAPF,
-		MaxArrayElements: maxItems,
-		MaxMapPairs:      maxItems,
+		MaxArrayElements: maxContainerElements,
+		MaxMapPairs:      maxContainerElements,
 	}.DecMode()
 	if err != nil {
 		panic(err)
@@ -51,27 +50,27 @@
 // EncodeCommand encodes a command for the log.
 func EncodeCommand(c fleet.Command) ([]byte, error) { return encode("command", c) }
 
-// DecodeCommand decodes an entry of the log.
+// DecodeCommand decodes the command of a log entry.
 func DecodeCommand(data []byte) (c fleet.Command, err error) { return c, decode("command", data, &c) }
 
-// DecodeResult decodes what Machine.Apply returned.
+// DecodeResult decodes a result of StateMachine.Apply.
 func DecodeResult(data []byte) (r fleet.Result, err error) { return r, decode("result", data, &r) }
 
 func decodeSnapshot(data []byte) (s fleet.Snapshot, err error) {
 	return s, decode("snapshot", data, &s)
 }
 
-func encode(what string, value any) ([]byte, error) {
-	data, err := encoder.Marshal(value)
+func encode(kind string, value any) ([]byte, error) {
+	data, err := encMode.Marshal(value)
 	if err != nil {
-		return nil, ErrCodec.Wrap(err, "cannot encode a %s", what)
+		return nil, ErrCodec.Wrap(err, "cannot encode a %s", kind)
 	}
 	return data, nil
 }
 
-func decode(what string, data []byte, value any) error {
-	if err := decoder.Unmarshal(data, value); err != nil {
-		return ErrCodec.Wrap(err, "cannot decode a %s of %d bytes", what, len(data))
+func decode(kind string, data []byte, value any) error {
+	if err := decMode.Unmarshal(data, value); err != nil {
+		return ErrCodec.Wrap(err, "cannot decode a %s of %d bytes", kind, len(data))
 	}
 	return nil
 }
--- a/internal/fleetstore/fleetstore_test.go
+++ b/internal/fleetstore/fleetstore_test.go
@@ -14,7 +14,7 @@
 	"fulmarmount.org/core/fleet"
 )
 
-func command(id string, expected uint64) fleet.Command {
+func applyCommand(id string, expected uint64) fleet.Command {
 	return fleet.Command{
 		Kind: fleet.KindApply, RequestID: id, Author: "jiwoo", ExpectedVersion: expected,
 		ProposedAt: time.Date(2026, 3, 1, 9, 0, 0, 5, time.FixedZone("KST", 9*3600)),
@@ -34,12 +34,12 @@
 	}
 }
 
-func TestStateOutlivesEncodingAndSnapshots(t *testing.T) {
+func TestStateSurvivesEncodingAndRestore(t *testing.T) {
 	is := is.New(t)
 	ctx, machine := context.Background(), NewStateMachine()
 	store := NewStore(NewLocalLog(machine), machine)
 	changed := machine.Changed()
-	first, err := store.Propose(ctx, command("a", 0))
+	first, err := store.Propose(ctx, applyCommand("a", 0))
 	is.NoErr(err)
 	is.Equal(first, fleet.Result{Outcome: fleet.OutcomeAccepted, Version: 1, Revision: 1})
 	<-changed
@@ -57,14 +57,14 @@
 			is.Equal(m.History(), r.History())
 		})
 	}))
-	data, err := EncodeCommand(command("a", 0))
+	data, err := EncodeCommand(applyCommand("a", 0))
 	is.NoErr(err)
 	resend, err := DecodeResult(restored.Apply(2, data))
 	is.NoErr(err)
 	is.Equal(resend, first)
 }
 
-func TestUndecodableCommandsTakeTheirIndexAndAreRefused(t *testing.T) {
+func TestUndecodableCommandAdvancesIndexAndIsInvalid(t *testing.T) {
 	is := is.New(t)
 	m := NewStateMachine()
 	result, err := DecodeResult(m.Apply(7, []byte{0xff, 0x00}))
@@ -75,22 +75,23 @@
 	m.Read(func(f *fleet.StateMachine) { is.Equal(f.Index(), uint64(7)) })
 }
 
-type lostLog struct{ LocalLog }
+// failingLog fails every proposal.
+type failingLog struct{ LocalLog }
 
-func (*lostLog) Propose(context.Context, []byte) ([]byte, error) {
+func (*failingLog) Propose(context.Context, []byte) ([]byte, error) {
 	return nil, errors.New("no leader")
 }
 
-func TestALostAnswerIsOfUnknownResult(t *testing.T) {
+func TestFailedProposeHasUnknownOutcome(t *testing.T) {
 	is := is.New(t)
-	_, err := NewStore(&lostLog{}, NewStateMachine()).Propose(context.Background(), command("a", 0))
+	_, err := NewStore(&failingLog{}, NewStateMachine()).Propose(context.Background(), applyCommand("a", 0))
 	is.True(errorx.IsOfType(err, ErrOutcomeUnknown))
 	is.True(errorx.IsTemporary(err))
 }
 
 func FuzzDecoders(f *testing.F) {
 	machine := NewStateMachine()
-	data, _ := EncodeCommand(command("a", 0))
+	data, _ := EncodeCommand(applyCommand("a", 0))
 	machine.Apply(1, data)
 	snapshot, _ := machine.Snapshot()
 	f.Add(data)
@@ -106,7 +107,7 @@
 		if _, err := m.Snapshot(); err != nil {
 			t.Fatalf("restored state does not encode: %v", err)
 		}
-		c, _ := EncodeCommand(command("b", 0))
+		c, _ := EncodeCommand(applyCommand("b", 0))
 		m.Apply(1<<62, c)
 	})
 }
--- a/internal/fleetstore/machine.go
+++ b/internal/fleetstore/machine.go
@@ -6,37 +6,38 @@
 	"fulmarmount.org/core/fleet"
 )
 
-// StateMachine is the state machine of a replica. It is safe for concurrent use.
+// StateMachine is a fleet.StateMachine with encoded commands, results and snapshots.
+// It implements replica.StateMachine and is safe for concurrent use.
 type StateMachine struct {
 	mu      sync.RWMutex
-	fleet   *fleet.StateMachine
+	state   *fleet.StateMachine
 	changed chan struct{}
 }
 
-// NewStateMachine returns the state before the first command.
+// NewStateMachine returns a state machine in its initial state.
 func NewStateMachine() *StateMachine {
-	return &StateMachine{fleet: fleet.New(), changed: make(chan struct{})}
+	return &StateMachine{state: fleet.New(), changed: make(chan struct{})}
 }
 
 // Apply executes the encoded command at a log index and returns the encoded
-// result. A command that does not decode is answered as invalid, equally on
+// result. A command that cannot be decoded yields an invalid result, identically on
 // every replica.
 func (m *StateMachine) Apply(index uint64, command []byte) []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	c, err := DecodeCommand(command)
 	if err != nil {
-		// The zero command is refused, and takes its index.
+		// The zero command is rejected as invalid and advances the index.
 		c = fleet.Command{}
 	}
-	before := m.fleet.Revision()
-	result := m.fleet.Apply(index, c)
-	if m.fleet.Revision() != before {
-		m.notify()
+	before := m.state.Revision()
+	result := m.state.Apply(index, c)
+	if m.state.Revision() != before {
+		m.notifyChanged()
 	}
 	data, err := encode("result", result)
 	if err != nil {
-		// Results hold numbers and text alone, which always encode.
+		// Unreachable: results contain numbers and text only, which always encode.
 		panic(err)
 	}
 	return data
@@ -45,12 +46,12 @@
 // Snapshot returns the encoded state.
 func (m *StateMachine) Snapshot() ([]byte, error) {
 	m.mu.RLock()
-	snapshot := m.fleet.Snapshot()
+	snapshot := m.state.Snapshot()
 	m.mu.RUnlock()
 	return encode("snapshot", snapshot)
 }
 
-// Restore replaces the state by an encoded one. On an error it stays as it was.
+// Restore replaces the state with an encoded one. On an error the state is unchanged.
 func (m *StateMachine) Restore(data []byte) error {
 	snapshot, err := decodeSnapshot(data)
 	if err != nil {
@@ -62,28 +63,28 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.fleet = restored
-	m.notify()
+	m.state = restored
+	m.notifyChanged()
 	return nil
 }
 
-// Read calls read with the state, which read must not keep. What the state
-// returns may be kept.
+// Read calls read with the state. Read must not retain the state, but may retain the
+// values that its methods return.
 func (m *StateMachine) Read(read func(*fleet.StateMachine)) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	read(m.fleet)
+	read(m.state)
 }
 
-// Changed returns a channel that is closed at the next change.
+// Changed returns a channel that is closed at the next change of the state.
 func (m *StateMachine) Changed() <-chan struct{} {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.changed
 }
 
-// notify wakes the readers. The caller holds the lock.
-func (m *StateMachine) notify() {
+// notifyChanged closes the channel that Changed returned. The caller must hold mu.
+func (m *StateMachine) notifyChanged() {
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
--- a/internal/fleetstore/store.go
+++ b/internal/fleetstore/store.go
@@ -7,39 +7,39 @@
 	"fulmarmount.org/core/fleet"
 )
 
-// Log is a replicated log that applies entries to a Machine.
+// Log is a replicated log whose entries are applied to a StateMachine.
 type Log interface {
-	// Propose appends the command and returns what Machine.Apply answered.
+	// Propose appends the command and returns the result of StateMachine.Apply.
 	Propose(ctx context.Context, command []byte) ([]byte, error)
-	// Barrier returns once the local Machine has every command that was
+	// Barrier returns once the local StateMachine has applied every command that was
 	// acknowledged before the call.
 	Barrier(ctx context.Context) error
 }
 
-// Store gives operators the replicated state.
+// Store reads and modifies the replicated state of the fleet.
 type Store struct {
 	log     Log
 	machine *StateMachine
 }
 
-// NewStore returns a store over a log that applies to machine.
+// NewStore returns a Store on a log whose entries are applied to machine.
 func NewStore(log Log, machine *StateMachine) *Store { return &Store{log: log, machine: machine} }
 
-// Propose runs a command. An error of type ErrPropose leaves its result
+// Propose executes a command. After an error of type ErrOutcomeUnknown the result is
 // unknown.
 func (s *Store) Propose(ctx context.Context, c fleet.Command) (fleet.Result, error) {
 	data, err := EncodeCommand(c)
 	if err != nil {
 		return fleet.Result{}, err
 	}
-	answer, err := s.log.Propose(ctx, data)
+	result, err := s.log.Propose(ctx, data)
 	if err != nil {
 		return fleet.Result{}, ErrOutcomeUnknown.Wrap(err, "cannot tell whether command %s took effect", c.Kind)
 	}
-	return DecodeResult(answer)
+	return DecodeResult(result)
 }
 
-// Read calls read with a state that holds every acknowledged command.
+// Read calls read with a state that includes every acknowledged command.
 func (s *Store) Read(ctx context.Context, read func(*fleet.StateMachine)) error {
 	if err := s.log.Barrier(ctx); err != nil {
 		return err
@@ -48,10 +48,10 @@
 	return nil
 }
 
-// Peek calls read with the state as this process has it, which may lag.
+// Peek calls read with the local state, which may lag behind the log.
 func (s *Store) Peek(read func(*fleet.StateMachine)) { s.machine.Read(read) }
 
-// UpdateRegisteredAgents notes which agents there are.
+// UpdateRegisteredAgents adds and removes registered agents.
 func (s *Store) UpdateRegisteredAgents(ctx context.Context, c fleet.RegistrationChange) error {
 	_, err := s.Propose(ctx, fleet.Command{Kind: fleet.KindRegistrations, Registrations: &c})
 	return err
@@ -60,8 +60,8 @@
 // Changed returns a channel that is closed at the next change of the state.
 func (s *Store) Changed() <-chan struct{} { return s.machine.Changed() }
 
-// LocalLog is a log of one process, in memory alone: for the embedded default,
-// whose state ends with its process.
+// LocalLog is an in-memory Log of a single control process without a data folder, as
+// in the default embedded setup. Its state is lost when the process exits.
 type LocalLog struct {
 	machine *StateMachine
 
@@ -69,7 +69,7 @@
 	index uint64
 }
 
-// NewLocalLog returns a log that applies to machine.
+// NewLocalLog returns a log whose entries are applied to machine.
 func NewLocalLog(machine *StateMachine) *LocalLog { return &LocalLog{machine: machine} }
 
 // Propose implements Log.
