--- a/internal/replica/bench_test.go
+++ b/internal/replica/bench_test.go
@@ -23,8 +23,8 @@
 func (discardStateMachine) Snapshot() ([]byte, error)   { return []byte{0}, nil }
 func (discardStateMachine) Restore([]byte) error        { return nil }
 
-// directTransport delivers messages synchronously and counts the bytes of their
-// entries.
+// directTransport passes messages directly to the recipient and counts the bytes of
+// their entries.
 type directTransport struct {
 	nodes      map[quorum.ReplicaID]*Node
 	entryBytes atomic.Int64
