--- a/internal/group/group_test.go
+++ b/internal/group/group_test.go
@@ -246,7 +246,7 @@
 	is.True(g.RemoveReplica(context.Background(), g.self.ID.String()) != nil) // the last voter
 	is.NoErr(g.Stop(context.Background()))
 	_, err = g.Propose(context.Background(), []byte("b"))
-	is.True(errorx.IsOfType(err, replica.Stopped))
+	is.True(errorx.IsOfType(err, replica.ErrStopped))
 }
 
 var _ admin.Replicas = (*Group)(nil)
@@ -261,9 +261,9 @@
 	}{
 		{"nobody answers", nil, ask},
 		{"all are new", []replicalink.Identity{{Member: other}}, lead},
-		{"a peer was faster", []replicalink.Identity{{Member: other, Cluster: 5, Founders: both}}, lead},
+		{"a peer was faster", []replicalink.Identity{{Member: other, Cluster: 5, InitialMembership: both}}, lead},
 		{"an older cluster", []replicalink.Identity{{Member: other, Cluster: 5}}, join},
-		{"founders knew the lost disk", []replicalink.Identity{{Member: other, Cluster: 5, Founders: quorum.NewMembership(other, quorum.Member{ID: 9})}}, join},
+		{"founders knew the lost disk", []replicalink.Identity{{Member: other, Cluster: 5, InitialMembership: quorum.NewMembership(other, quorum.Member{ID: 9})}}, join},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/group/members.go
+++ b/internal/group/members.go
@@ -54,8 +54,8 @@
 	}
 	cluster := n.Status().Cluster
 	switch {
-	case identity.Group != g.options.Cluster:
-		return Refused.New("replica at %s is of control group %q", addr, identity.Group)
+	case identity.GroupName != g.options.Cluster:
+		return Refused.New("replica at %s is of control group %q", addr, identity.GroupName)
 	case identity.Cluster != 0 && identity.Cluster != cluster:
 		return Refused.New("replica at %s is of cluster %s; this one is %s", addr, identity.Cluster, cluster)
 	case identity.Member.Name != name:
@@ -74,7 +74,7 @@
 	if err != nil {
 		return err
 	}
-	return n.Remove(ctx, quorum.ReplicaID(number))
+	return n.RemoveMember(ctx, quorum.ReplicaID(number))
 }
 
 // leading returns the replica if it leads, else an error that names the leader.
@@ -88,9 +88,9 @@
 		return n, nil
 	}
 	if leader, ok := status.Membership.Find(status.Leader); ok {
-		return nil, replica.NotLeader.New("the leader is %s at %s", leader.Name, leader.Address)
+		return nil, replica.ErrNotLeader.New("the leader is %s at %s", leader.Name, leader.Address)
 	}
-	return nil, replica.NotLeader.New("no leader is known")
+	return nil, replica.ErrNotLeader.New("no leader is known")
 }
 
 // Dump is the state of the replica for the process's dump.
