--- a/internal/ctl/recover.go
+++ b/internal/ctl/recover.go
@@ -37,13 +37,13 @@
 	if !process.Has(settings.RoleControl) {
 		return errUsage.New("%s holds no control role", args[0])
 	}
-	store, err := disk.Open(disk.Options{Folder: group.Folder(process.DataDir)})
+	store, err := disk.Open(disk.Options{Folder: group.StoreDir(process.DataDir)})
 	if err != nil {
 		return err
 	}
 	defer func() { _ = store.Close() }() // all is synced
 	if store.State().Snapshot.Index == 0 {
-		return errRefused.New("%s holds no replica's state", group.Folder(process.DataDir))
+		return errRefused.New("%s holds no replica's state", group.StoreDir(process.DataDir))
 	}
 	cluster, err := newCluster()
 	if err != nil {
--- a/internal/group/found.go
+++ b/internal/group/found.go
@@ -14,26 +14,27 @@
 	"fulmarmount.org/fulmarmount/internal/replicalink"
 )
 
-// foundInterval is the time between looks at the other replicas.
-const foundInterval = 300 * time.Millisecond
+// bootstrapInterval is the time between queries of the peers' identities.
+const bootstrapInterval = 300 * time.Millisecond
 
-// plan is what a replica without a cluster does next.
-type plan int
+// bootstrapDecision is the next action of a replica without a cluster.
+type bootstrapDecision int
 
 const (
-	ask  plan = iota // some peers have not answered
-	join             // a cluster exists; wait until operators add this replica
-	lead             // found the cluster of founders
+	retryBootstrap   bootstrapDecision = iota // some peers have not responded
+	awaitAdmission                            // a cluster exists; wait to be added to it
+	bootstrapCluster                          // create the cluster of the founding members
 )
 
-// found decides whether this replica is one of the first of a new cluster. It
-// founds one only with the word of all peers that they belong to none: a
-// replica that lost its disk would else found a second one.
-func (g *Group) found(ctx context.Context) {
-	ticker := time.NewTicker(foundInterval)
+// bootstrap retries until this replica has created a cluster or has found an
+// existing one. It creates a cluster only after every peer has reported that it
+// belongs to none: otherwise a replica that lost its disk would create a second
+// cluster.
+func (g *Group) bootstrap(ctx context.Context) {
+	ticker := time.NewTicker(bootstrapInterval)
 	defer ticker.Stop()
 	for {
-		if g.tryFound(ctx) {
+		if g.tryBootstrap(ctx) {
 			return
 		}
 		select {
@@ -44,76 +45,79 @@
 	}
 }
 
-func (g *Group) tryFound(ctx context.Context) bool {
-	next, cluster, founders := decide(g.options.Cluster, g.self, g.askPeers(ctx), len(g.options.Peers))
+func (g *Group) tryBootstrap(ctx context.Context) bool {
+	next, cluster, founders := decideBootstrap(g.options.ClusterName, g.self, g.identifyPeers(ctx), len(g.options.Peers))
 	switch next {
-	case join:
-		g.options.Log.Warn("A cluster exists. Waiting to be added to it.",
+	case awaitAdmission:
+		g.options.Log.Warn("A peer belongs to a cluster. This replica waits to be added to it.",
 			zap.Stringer("cluster", cluster), zap.Stringer("replica", g.self.ID))
-	case lead:
+	case bootstrapCluster:
 		if err := replica.Bootstrap(g.store, cluster, founders.Members...); err != nil {
-			g.options.Log.Error("Cannot found the cluster.", zap.Error(err))
+			g.options.Log.Error("Could not bootstrap the cluster. The replica does not run.", zap.Error(err))
 			return true
 		}
-		g.options.Log.Info("Founded a cluster.", zap.Stringer("cluster", cluster))
+		g.options.Log.Info("Bootstrapped a cluster.", zap.Stringer("cluster", cluster))
 	default:
 		return false
 	}
-	if err := g.start(); err != nil {
-		g.options.Log.Error("Replica does not start.", zap.Error(err))
+	if err := g.startNode(); err != nil {
+		g.options.Log.Error("Could not start the replica.", zap.Error(err))
 	}
 	return true
 }
 
-// askPeers returns the identities of the other replicas that answer.
-func (g *Group) askPeers(ctx context.Context) []replicalink.Identity {
-	var answers []replicalink.Identity
+// identifyPeers returns the identities of the other replicas that respond.
+func (g *Group) identifyPeers(ctx context.Context) []replicalink.Identity {
+	var identities []replicalink.Identity
 	for _, p := range g.options.Peers {
 		if p.Name == g.options.Name || p.Addr == g.options.Addr {
 			continue
 		}
 		identity, err := g.link.Identify(ctx, p.Addr)
 		if err != nil {
-			g.options.Log.Debug("A peer does not answer.", zap.String("peer", p.Name), zap.Error(err))
+			g.options.Log.Debug("Could not query the identity of a peer.", zap.String("peer", p.Name), zap.Error(err))
 			continue
 		}
-		if identity.Group != g.options.Cluster {
-			g.options.Log.Error("A peer is of another control group.",
+		if identity.Group != g.options.ClusterName {
+			g.options.Log.Error("A peer belongs to another control group. Ignored its identity.",
 				zap.String("peer", p.Name), zap.String("group", identity.Group))
 			continue
 		}
-		answers = append(answers, identity)
+		identities = append(identities, identity)
 	}
-	return answers
+	return identities
 }
 
-// decide weighs the answers of the others of a number of peers.
-func decide(group string, self quorum.Member, answers []replicalink.Identity, peers int) (plan, quorum.ClusterID, quorum.Membership) {
+// decideBootstrap returns the next action, given the identities of the peers that
+// responded and the number of configured peers, this replica included. For
+// bootstrapCluster it also returns the cluster's ID and founding members.
+func decideBootstrap(group string, self quorum.Member, identities []replicalink.Identity, peerCount int) (bootstrapDecision, quorum.ClusterID, quorum.Membership) {
 	members := []quorum.Member{self}
-	for _, a := range answers {
+	for _, a := range identities {
 		if a.Cluster == 0 {
 			members = append(members, a.Member)
 			continue
 		}
 		if a.Founders.IsVoter(self.ID) {
-			// A peer was faster, and counted this replica's identity in.
-			return lead, a.Cluster, a.Founders
+			// A peer bootstrapped the cluster first, with this replica as a founder.
+			return bootstrapCluster, a.Cluster, a.Founders
 		}
-		return join, a.Cluster, quorum.Membership{}
+		return awaitAdmission, a.Cluster, quorum.Membership{}
 	}
-	if len(members) < peers {
-		return ask, 0, quorum.Membership{}
+	if len(members) < peerCount {
+		return retryBootstrap, 0, quorum.Membership{}
 	}
 	founders := quorum.NewMembership(members...)
 	ids := make([]quorum.ReplicaID, 0, len(members))
 	for _, m := range founders.Members {
 		ids = append(ids, m.ID)
 	}
-	return lead, clusterID(group, ids...), founders
+	return bootstrapCluster, deriveClusterID(group, ids...), founders
 }
 
-// clusterID is the same on all founders, and new for new disks.
-func clusterID(group string, ids ...quorum.ReplicaID) quorum.ClusterID {
+// deriveClusterID hashes the control group's name and the founders' IDs: all
+// founders derive the same ID, and replicas with new disks derive another one.
+func deriveClusterID(group string, ids ...quorum.ReplicaID) quorum.ClusterID {
 	slices.Sort(ids)
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(group)) // never fails
@@ -123,20 +127,21 @@
 	return quorum.ClusterID(max(h.Sum64(), 1))
 }
 
-// identity tells other replicas about this one.
+// identity returns the identity that this replica reports to others.
 func (g *Group) identity() replicalink.Identity {
-	id := replicalink.Identity{Member: g.self, Group: g.options.Cluster}
-	n := g.current()
+	id := replicalink.Identity{Member: g.self, Group: g.options.ClusterName}
+	n := g.currentNode()
 	if n == nil {
 		return id
 	}
 	status := n.Status()
 	id.Cluster = status.Cluster
-	if status.SnapshotIndex == firstSnapshot {
+	if status.SnapshotIndex == bootstrapSnapshotIndex {
 		id.Founders = status.SnapshotMembership
 	}
 	return id
 }
 
-// firstSnapshot is the entry of a cluster's first membership.
-const firstSnapshot = 1
+// bootstrapSnapshotIndex is the index of the snapshot that holds a cluster's
+// founding membership.
+const bootstrapSnapshotIndex = 1
--- a/internal/group/group.go
+++ b/internal/group/group.go
@@ -1,6 +1,6 @@
 // Package group makes a control process a member of its control group: it
-// opens the durable store, founds or joins the cluster, runs the replica and
-// serves operators' changes to the membership.
+// opens the durable store, bootstraps or joins the cluster, runs the replica and
+// applies operators' changes to the membership.
 package group
 
 import (
@@ -25,13 +25,14 @@
 var Errors = errorx.NewNamespace("group")
 
 var (
-	// Waiting says that the replica belongs to no cluster yet.
-	Waiting = Errors.NewType("waiting", errorx.Temporary())
-	// Refused refuses an operator's change.
-	Refused = Errors.NewType("refused")
+	// ErrNoCluster reports that the replica belongs to no cluster yet, or that no
+	// replica responds at an address.
+	ErrNoCluster = Errors.NewType("waiting", errorx.Temporary())
+	// ErrRejected reports an invalid membership change.
+	ErrRejected = Errors.NewType("refused")
 )
 
-// Peer is a control replica that the settings name.
+// Peer is a control replica listed in the settings.
 type Peer struct {
 	Name string
 	Addr netip.AddrPort
@@ -43,65 +44,68 @@
 	Name string
 	// Addr is the address where other replicas reach this one.
 	Addr netip.AddrPort
-	// Cluster is the operators' name of the control group.
-	Cluster string
-	// Peers are the replicas of a new cluster, this one included. None, or
-	// this one alone, makes a cluster of one replica.
+	// ClusterName is the control group's name in the settings.
+	ClusterName string
+	// Peers are the founding replicas of a new cluster, this one included. If it
+	// is empty or lists only this replica, and Seeds is nil, the cluster has one
+	// replica.
 	Peers []Peer
-	// Seeds returns addresses of replicas that a replica without a cluster, or
-	// one that was removed, asks to be added; nil where operators add replicas.
+	// Seeds returns the addresses of replicas to which a replica without a
+	// cluster, or one that was removed, sends join requests; nil if operators add
+	// replicas.
 	Seeds func() []netip.AddrPort
-	// Keep maintains the membership; the zero value promotes learners and
-	// removes none.
-	Keep roster.Options
-	// Tick is the unit of the replica's time; 0 stands for the default.
-	Tick time.Duration
-	// Folder holds the durable state; empty keeps it in memory, for a replica
-	// on its own.
-	Folder  string
-	Machine replica.StateMachine
-	// Pool connects to other replicas; nil for a replica on its own.
+	// Membership configures the reconciliation of the membership; the zero value
+	// promotes learners and removes no members.
+	Membership roster.Options
+	// TickInterval is the time between ticks of the replica; 0 selects the default.
+	TickInterval time.Duration
+	// Dir is the directory of the durable state; if empty, the state is kept in
+	// memory, for a cluster of one replica.
+	Dir          string
+	StateMachine replica.StateMachine
+	// Pool connects to other replicas; nil in a cluster of one replica.
 	Pool *peer.Pool
 	Now  func() time.Time
 	Log  *zap.Logger
 
-	open func(disk.Options) (store, error) // tests inject faults here
+	openStore func(disk.Options) (store, error) // tests inject faults here
 }
 
-// Group is the membership of this process in its control group. It is safe for
+// Group runs this process's replica of its control group. It is safe for
 // concurrent use.
 type Group struct {
-	options Options
-	store   store
-	self    quorum.Member
-	link    *replicalink.Link
-	cancel  context.CancelFunc
-	running sync.WaitGroup
+	options    Options
+	store      store
+	self       quorum.Member
+	link       *replicalink.Link
+	cancel     context.CancelFunc
+	background sync.WaitGroup
 
-	mu      sync.Mutex
-	node    *replica.Node
-	started chan struct{} // closed once node is set
-	failed  error         // why the node could not start
+	mu       sync.Mutex
+	node     *replica.Node
+	started  chan struct{} // closed once node and startErr are set
+	startErr error         // why the node could not start
 }
 
-// store is a replica.Store that is closed at the end.
+// store is a replica.Store that can be closed.
 type store interface {
 	replica.Store
 	Close() error
 }
 
-// memory is a store without files.
-type memory struct{ *disk.Memory }
+// memoryStore is a store without files.
+type memoryStore struct{ *disk.Memory }
 
 // Close implements store.
-func (memory) Close() error { return nil }
+func (memoryStore) Close() error { return nil }
 
-// Open opens the store and starts the replica, once it belongs to a cluster.
+// Open opens the store and starts the replica. A founding replica of a new
+// cluster starts in the background, once the cluster is bootstrapped.
 func Open(o Options) (*Group, error) {
-	if o.open == nil {
-		o.open = openStore
+	if o.openStore == nil {
+		o.openStore = openStore
 	}
-	s, err := o.open(disk.Options{Folder: o.Folder})
+	s, err := o.openStore(disk.Options{Folder: o.Dir})
 	if err != nil {
 		return nil, err
 	}
@@ -115,23 +119,23 @@
 	})
 	switch {
 	case replica.Blank(s) && len(o.Peers) > 1:
-		o.Log.Info("Replica belongs to no cluster yet.", zap.Stringer("replica", g.self.ID))
-		g.running.Go(func() { g.found(ctx) })
+		o.Log.Info("Replica belongs to no cluster yet. Querying its peers.", zap.Stringer("replica", g.self.ID))
+		g.background.Go(func() { g.bootstrap(ctx) })
 	case replica.Blank(s) && len(o.Peers) == 0 && o.Seeds != nil:
-		o.Log.Info("Replica waits to be added to a cluster.", zap.Stringer("replica", g.self.ID))
-		err = g.start()
+		o.Log.Info("Replica belongs to no cluster yet. Requesting to join one.", zap.Stringer("replica", g.self.ID))
+		err = g.startNode()
 	default:
-		err = g.startAlone()
+		err = g.startOrBootstrap()
 	}
 	if err != nil {
 		cancel()
 		_ = s.Close()
 		return nil, err
 	}
-	g.running.Go(func() { g.watch(ctx) })
-	g.running.Go(func() { g.keepMembers(ctx) })
+	g.background.Go(func() { g.restartAfterStoreFailure(ctx) })
+	g.background.Go(func() { g.reconcileMembership(ctx) })
 	if o.Seeds != nil {
-		g.running.Go(func() { g.joinCluster(ctx) })
+		g.background.Go(func() { g.joinWhileLeaderless(ctx) })
 	}
 	return g, nil
 }
@@ -139,51 +143,52 @@
 func openStore(o disk.Options) (store, error) {
 	if o.Folder == "" {
 		m, err := disk.NewMemory()
-		return memory{m}, err
+		return memoryStore{m}, err
 	}
 	return disk.Open(o)
 }
 
-// startAlone starts a replica that has a cluster or founds one of its own.
-func (g *Group) startAlone() error {
+// startOrBootstrap starts the replica. If it belongs to no cluster, it first
+// bootstraps a cluster of one replica.
+func (g *Group) startOrBootstrap() error {
 	if replica.Blank(g.store) {
-		if err := replica.Bootstrap(g.store, clusterID(g.options.Cluster, g.self.ID), g.self); err != nil {
+		if err := replica.Bootstrap(g.store, deriveClusterID(g.options.ClusterName, g.self.ID), g.self); err != nil {
 			return err
 		}
 	}
-	return g.start()
+	return g.startNode()
 }
 
-// start runs the replica with what the store holds.
-func (g *Group) start() error {
-	n, err := g.newReplica(g.store)
+// startNode runs the replica with the state in the store and closes started.
+func (g *Group) startNode() error {
+	n, err := g.newNode(g.store)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.node, g.failed = n, err
+	g.node, g.startErr = n, err
 	close(g.started)
 	return err
 }
 
-// Node returns the running replica. It waits for it until ctx ends.
+// Node waits until the replica has started or ctx ends, and returns the replica.
 func (g *Group) Node(ctx context.Context) (*replica.Node, error) {
 	select {
 	case <-g.started:
 	case <-ctx.Done():
-		return nil, Waiting.New("replica %s belongs to no cluster yet", g.self.ID)
+		return nil, ErrNoCluster.New("replica %s belongs to no cluster yet", g.self.ID)
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.node, g.failed
+	return g.node, g.startErr
 }
 
-// current returns the running replica, or nil.
-func (g *Group) current() *replica.Node {
+// currentNode returns the replica, or nil if it has not started.
+func (g *Group) currentNode() *replica.Node {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.node
 }
 
-// Propose replicates a command and returns the state machine's answer.
+// Propose replicates a command and returns the state machine's result.
 func (g *Group) Propose(ctx context.Context, command []byte) ([]byte, error) {
 	n, err := g.Node(ctx)
 	if err != nil {
@@ -192,7 +197,8 @@
 	return n.Propose(ctx, command)
 }
 
-// Barrier returns once the local state holds every acknowledged command.
+// Barrier returns once the local state machine has applied every command that was
+// acknowledged before the call.
 func (g *Group) Barrier(ctx context.Context) error {
 	n, err := g.Node(ctx)
 	if err != nil {
@@ -201,7 +207,7 @@
 	return n.ReadIndex(ctx)
 }
 
-// Handlers returns what serves the other replicas, by the kind of stream.
+// Handlers returns the handlers of other replicas' streams, by stream kind.
 func (g *Group) Handlers() map[string]peer.Handler {
 	return map[string]peer.Handler{
 		replicalink.Messages: g.link.HandleMessages,
@@ -210,29 +216,29 @@
 	}
 }
 
-// receive passes messages on. A replica that has not started yet drops them;
-// leaders send again.
+// receive passes messages to the replica. They are dropped before the replica has
+// started; leaders resend them.
 func (g *Group) receive(messages []quorum.Message) {
-	if n := g.current(); n != nil {
+	if n := g.currentNode(); n != nil {
 		n.Receive(messages)
 	}
 }
 
-// Stop hands leadership on, ends the replica and closes the store.
+// Stop transfers leadership, stops the replica and closes the store.
 func (g *Group) Stop(ctx context.Context) error {
 	g.cancel()
-	g.running.Wait()
+	g.background.Wait()
 	var err error
-	if n := g.current(); n != nil {
+	if n := g.currentNode(); n != nil {
 		err = n.Stop(ctx)
 	}
 	g.link.Close()
-	return errorx.DecorateMany("control group does not stop", err, g.store.Close())
+	return errorx.DecorateMany("could not stop the control group's replica", err, g.store.Close())
 }
 
-// Folder returns the folder of the replica's files below a data folder, and
-// empty for none.
-func Folder(data string) string {
+// StoreDir returns the directory of the replica's files below a data directory,
+// or an empty path if data is empty.
+func StoreDir(data string) string {
 	if data == "" {
 		return ""
 	}
--- a/internal/group/group_test.go
+++ b/internal/group/group_test.go
@@ -28,54 +28,55 @@
 	"fulmarmount.org/fulmarmount/internal/replicalink"
 )
 
-// patience bounds waits; it decides nothing where the code works.
-const patience = 30 * time.Second
+// testTimeout limits each wait. It is reached only in a failing test.
+const testTimeout = 30 * time.Second
 
-// list is a state machine that keeps every command.
-type list struct {
-	mu    sync.Mutex
-	items []string
+// commandLog is a state machine that records every command.
+type commandLog struct {
+	mu       sync.Mutex
+	commands []string
 }
 
-func (l *list) Apply(_ uint64, command []byte) []byte {
+func (l *commandLog) Apply(_ uint64, command []byte) []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.items = append(l.items, string(command))
+	l.commands = append(l.commands, string(command))
 	return command
 }
 
-func (l *list) Snapshot() ([]byte, error) {
+func (l *commandLog) Snapshot() ([]byte, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return []byte(strings.Join(l.items, ",")), nil
+	return []byte(strings.Join(l.commands, ",")), nil
 }
 
-func (l *list) Restore(b []byte) error {
+func (l *commandLog) Restore(b []byte) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(b) == 0 {
 		return errors.New("no state")
 	}
-	l.items = strings.Split(string(b), ",")
+	l.commands = strings.Split(string(b), ",")
 	return nil
 }
 
-// process is one control process of the test.
+// process is a control process of the test: a group, its server and its clients.
 type process struct {
 	*Group
-	state  *list
+	state  *commandLog
 	server *peer.Server
 	pool   *peer.Pool
 }
 
-type bench struct {
+type testGroup struct {
 	t      *testing.T
-	set    *keys.Set
-	folder string
+	keySet *keys.Set
+	dir    string
 	peers  []Peer
-	// joining has replicas that open ask the peers to be added.
-	joining bool
-	// openStore replaces the opening of stores, nil for the real one.
+	// requestsJoin makes open start replicas without peers, which request to join
+	// with the peers as seeds.
+	requestsJoin bool
+	// openStore replaces the function that opens stores, unless nil.
 	openStore func(disk.Options) (store, error)
 }
 
@@ -88,20 +89,20 @@
 	return netip.MustParseAddrPort(conn.LocalAddr().String())
 }
 
-func newBench(t *testing.T, replicas int) *bench {
+func newTestGroup(t *testing.T, replicas int) *testGroup {
 	set, err := keys.Ephemeral(time.Now())
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &bench{t: t, set: set, folder: t.TempDir()}
+	b := &testGroup{t: t, keySet: set, dir: t.TempDir()}
 	for i := range replicas {
 		b.peers = append(b.peers, Peer{Name: fmt.Sprint("vm-", i), Addr: freeAddr(t)})
 	}
 	return b
 }
 
-// addrs returns the addresses of the first replicas.
-func (b *bench) addrs() []netip.AddrPort {
+// addrs returns the addresses of the founding replicas.
+func (b *testGroup) addrs() []netip.AddrPort {
 	var out []netip.AddrPort
 	for _, p := range b.peers {
 		out = append(out, p.Addr)
@@ -109,31 +110,31 @@
 	return out
 }
 
-func (b *bench) path(p Peer) string { return filepath.Join(b.folder, p.Name) }
+func (b *testGroup) path(p Peer) string { return filepath.Join(b.dir, p.Name) }
 
-func (b *bench) open(p Peer) *process {
-	identity, err := b.set.Identity(p.Name, time.Now(), keys.Control)
+func (b *testGroup) open(p Peer) *process {
+	identity, err := b.keySet.Identity(p.Name, time.Now(), keys.Control)
 	if err != nil {
 		b.t.Fatal(err)
 	}
-	out := &process{state: &list{}}
+	out := &process{state: &commandLog{}}
 	out.pool = peer.NewPool(func() *tls.Config {
 		return identity.ClientTLSFor("", []keys.Role{keys.Control}, peer.Protocol)
 	})
 	options := Options{
-		Name: p.Name, Addr: p.Addr, Cluster: "control", Peers: b.peers, Folder: b.path(p),
-		Keep:    roster.Options{TargetVoters: 3, VoterTimeout: time.Second},
-		Machine: out.state, Pool: out.pool, Now: time.Now, Log: zap.NewNop(), open: b.openStore,
+		Name: p.Name, Addr: p.Addr, ClusterName: "control", Peers: b.peers, Dir: b.path(p),
+		Membership:   roster.Options{TargetVoters: 3, VoterTimeout: time.Second},
+		StateMachine: out.state, Pool: out.pool, Now: time.Now, Log: zap.NewNop(), openStore: b.openStore,
 	}
-	if b.joining {
+	if b.requestsJoin {
 		options.Peers, options.Seeds = nil, b.addrs
 	}
 	out.Group, err = Open(options)
 	if err != nil {
 		b.t.Fatal(err)
 	}
-	// The socket of a process that was closed is let go a little later.
-	until(b.t, "listen", func() bool {
+	// The socket of a closed process is released with a delay.
+	eventually(b.t, "listen", func() bool {
 		out.server, err = peer.Listen(peer.ServerOptions{
 			Addr: p.Addr, TLS: identity.ServerTLSFor([]keys.Role{keys.Control}, peer.Protocol),
 			Handlers: out.Handlers(), Log: zap.NewNop(),
@@ -154,24 +155,24 @@
 	p.server = nil
 }
 
-// until polls; what it waits for must come, whenever that is.
-func until(t *testing.T, what string, done func() bool) {
+// eventually polls until done returns true, and fails the test after testTimeout.
+func eventually(t *testing.T, condition string, done func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if done() {
 			return
 		}
 	}
-	t.Fatalf("%s: not within %s", what, patience)
+	t.Fatalf("condition %q not met within %s", condition, testTimeout)
 }
 
-// onLeader runs f on whichever process leads.
+// onLeader calls f on one process after another until one, the leader, succeeds.
 func onLeader(t *testing.T, processes []*process, f func(*process) error) {
 	t.Helper()
-	var last error
-	until(t, "a leader takes the change", func() bool {
+	var lastErr error
+	eventually(t, "a leader accepts the change", func() bool {
 		for _, p := range processes {
-			if last = f(p); last == nil {
+			if lastErr = f(p); lastErr == nil {
 				return true
 			}
 		}
@@ -179,46 +180,46 @@
 	})
 }
 
-func TestReplacesALostDiskAndSurvivesTheNextLoss(t *testing.T) {
+func TestGroupReplacesLostReplicaAndToleratesNextLoss(t *testing.T) {
 	is := is.New(t)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	b := newBench(t, 3)
-	var all []*process
+	b := newTestGroup(t, 3)
+	var processes []*process
 	for _, p := range b.peers {
-		all = append(all, b.open(p))
+		processes = append(processes, b.open(p))
 	}
 	propose := func(p *process, command string) {
-		until(t, "proposal", func() bool {
+		eventually(t, "proposal", func() bool {
 			_, err := p.Propose(ctx, []byte(command))
 			return err == nil
 		})
 	}
-	for i, p := range all {
+	for i, p := range processes {
 		propose(p, fmt.Sprint("command-", i))
 	}
 
-	lost := all[2].self.ID.String()
-	all[2].close()
+	lostID := processes[2].self.ID.String()
+	processes[2].close()
 	is.NoErr(os.RemoveAll(b.path(b.peers[2])))
-	all[2] = b.open(b.peers[2])
-	is.True(all[2].self.ID.String() != lost)
-	onLeader(t, all[:2], func(p *process) error { return p.AddReplica(ctx, "vm-2", b.peers[2].Addr) })
-	until(t, "the new replica votes", func() bool { return votes(ctx, all[0], all[2].self.ID) })
-	onLeader(t, all[:2], func(p *process) error { return p.RemoveReplica(ctx, lost) })
+	processes[2] = b.open(b.peers[2])
+	is.True(processes[2].self.ID.String() != lostID)
+	onLeader(t, processes[:2], func(p *process) error { return p.AddReplica(ctx, "vm-2", b.peers[2].Addr) })
+	eventually(t, "the new replica is a voter", func() bool { return isVoter(ctx, processes[0], processes[2].self.ID) })
+	onLeader(t, processes[:2], func(p *process) error { return p.RemoveReplica(ctx, lostID) })
 
-	all[0].close()
+	processes[0].close()
 	is.NoErr(os.RemoveAll(b.path(b.peers[0])))
-	propose(all[1], "after")
-	is.NoErr(all[2].Barrier(ctx))
-	all[2].state.mu.Lock()
-	defer all[2].state.mu.Unlock()
+	propose(processes[1], "after")
+	is.NoErr(processes[2].Barrier(ctx))
+	processes[2].state.mu.Lock()
+	defer processes[2].state.mu.Unlock()
 	for _, want := range []string{"command-0", "command-1", "command-2", "after"} {
-		is.True(strings.Contains(strings.Join(all[2].state.items, ","), want))
+		is.True(strings.Contains(strings.Join(processes[2].state.commands, ","), want))
 	}
 }
 
-func votes(ctx context.Context, p *process, id quorum.ReplicaID) bool {
+func isVoter(ctx context.Context, p *process, id quorum.ReplicaID) bool {
 	replicas, err := p.Replicas(ctx)
 	if err != nil {
 		return false
@@ -231,18 +232,18 @@
 	return false
 }
 
-func TestAloneNeedsNoPeers(t *testing.T) {
+func TestSingleReplicaNeedsNoPeers(t *testing.T) {
 	is := is.New(t)
-	state := &list{}
-	g, err := Open(Options{Name: "vm-0", Cluster: "control", Machine: state, Now: time.Now, Log: zap.NewNop()})
+	state := &commandLog{}
+	g, err := Open(Options{Name: "vm-0", ClusterName: "control", StateMachine: state, Now: time.Now, Log: zap.NewNop()})
 	is.NoErr(err)
-	answer, err := g.Propose(context.Background(), []byte("a"))
+	response, err := g.Propose(context.Background(), []byte("a"))
 	is.NoErr(err)
-	is.Equal(string(answer), "a")
+	is.Equal(string(response), "a")
 	is.NoErr(g.Barrier(context.Background()))
 	is.Equal(g.Dump().Role, "leader")
 	err = g.RemoveReplica(context.Background(), "not a number")
-	is.True(errorx.IsOfType(err, Refused))
+	is.True(errorx.IsOfType(err, ErrRejected))
 	is.True(g.RemoveReplica(context.Background(), g.self.ID.String()) != nil) // the last voter
 	is.NoErr(g.Stop(context.Background()))
 	_, err = g.Propose(context.Background(), []byte("b"))
@@ -251,35 +252,35 @@
 
 var _ admin.Replicas = (*Group)(nil)
 
-func TestDecide(t *testing.T) {
+func TestDecideBootstrap(t *testing.T) {
 	self, other := quorum.Member{ID: 1, Name: "a"}, quorum.Member{ID: 2, Name: "b"}
 	both := quorum.NewMembership(self, other)
 	cases := []struct {
 		name    string
 		answers []replicalink.Identity
-		want    plan
+		want    bootstrapDecision
 	}{
-		{"nobody answers", nil, ask},
-		{"all are new", []replicalink.Identity{{Member: other}}, lead},
-		{"a peer was faster", []replicalink.Identity{{Member: other, Cluster: 5, Founders: both}}, lead},
-		{"an older cluster", []replicalink.Identity{{Member: other, Cluster: 5}}, join},
-		{"founders knew the lost disk", []replicalink.Identity{{Member: other, Cluster: 5, Founders: quorum.NewMembership(other, quorum.Member{ID: 9})}}, join},
+		{"no peer responds", nil, retryBootstrap},
+		{"no peer belongs to a cluster", []replicalink.Identity{{Member: other}}, bootstrapCluster},
+		{"a peer bootstrapped the cluster first", []replicalink.Identity{{Member: other, Cluster: 5, Founders: both}}, bootstrapCluster},
+		{"a peer belongs to a compacted cluster", []replicalink.Identity{{Member: other, Cluster: 5}}, awaitAdmission},
+		{"the founders include the replica of the lost disk", []replicalink.Identity{{Member: other, Cluster: 5, Founders: quorum.NewMembership(other, quorum.Member{ID: 9})}}, awaitAdmission},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			got, cluster, founders := decide("control", self, c.answers, 2)
+			got, cluster, founders := decideBootstrap("control", self, c.answers, 2)
 			is.Equal(got, c.want)
-			if got == lead {
+			if got == bootstrapCluster {
 				is.True(cluster != 0)
 				is.Equal(founders, both)
 			}
 		})
 	}
 	is := is.New(t)
-	_, ours, _ := decide("control", self, []replicalink.Identity{{Member: other}}, 2)
-	_, theirs, _ := decide("control", other, []replicalink.Identity{{Member: self}}, 2)
+	_, ours, _ := decideBootstrap("control", self, []replicalink.Identity{{Member: other}}, 2)
+	_, theirs, _ := decideBootstrap("control", other, []replicalink.Identity{{Member: self}}, 2)
 	is.Equal(ours, theirs)
-	_, again, _ := decide("control", quorum.Member{ID: 3}, []replicalink.Identity{{Member: other}}, 2)
-	is.True(ours != again) // new disks make a new cluster
+	_, again, _ := decideBootstrap("control", quorum.Member{ID: 3}, []replicalink.Identity{{Member: other}}, 2)
+	is.True(ours != again) // a replica with a new disk yields another cluster ID
 }
--- a/internal/group/join_test.go
+++ b/internal/group/join_test.go
@@ -8,51 +8,53 @@
 	"github.com/matryer/is"
 )
 
-// awaitLeader waits for the leader's address by the channel of Leadership alone.
+// awaitLeader waits until the leader's address is known. It relies only on the
+// channel that Leadership returns, so it fails if a change is not signaled.
 func awaitLeader(t *testing.T, g *Group) Leadership {
 	t.Helper()
-	for end := time.After(patience); ; {
+	for timeout := time.After(testTimeout); ; {
 		l, changed := g.Leadership()
-		if l.Leader.IsValid() {
+		if l.LeaderAddr.IsValid() {
 			return l
 		}
 		select {
 		case <-changed:
-		case <-end:
-			t.Fatal("no leader's address was announced")
+		case <-timeout:
+			t.Fatal("Leadership did not signal a leader with an address")
 		}
 	}
 }
 
-// A process whose disk was emptied starts without peers, asks to be added, takes
-// the place of its former self, and can pass daemons on to the leader.
-func TestEmptiedReplicaTakesItsPlaceAgain(t *testing.T) {
+// A process whose disk was wiped starts without peers and requests to join. It must
+// replace its former member and learn the leader's address, to which it redirects
+// daemons.
+func TestReplicaWithWipedDiskReplacesItsFormerMember(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, 3)
-	var all []*process
+	b := newTestGroup(t, 3)
+	var processes []*process
 	for _, p := range b.peers {
-		all = append(all, b.open(p))
+		processes = append(processes, b.open(p))
 	}
-	leader := awaitLeader(t, all[0].Group).Leader
+	leader := awaitLeader(t, processes[0].Group).LeaderAddr
 	i := 0
 	for b.peers[i].Addr == leader {
 		i++
 	}
-	lost := all[i].self.ID
-	all[i].close()
+	lostID := processes[i].self.ID
+	processes[i].close()
 	is.NoErr(os.RemoveAll(b.path(b.peers[i])))
-	b.joining = true
-	again := b.open(b.peers[i])
-	l, _ := again.Leadership()
-	is.True(l.Waiting || l.Leader.IsValid()) // until it was added
-	is.True(awaitLeader(t, again.Group).Leader.IsValid())
-	until(t, "the emptied replica votes in place of the lost one", func() bool {
-		n := again.current()
+	b.requestsJoin = true
+	rejoined := b.open(b.peers[i])
+	l, _ := rejoined.Leadership()
+	is.True(l.HasNoCluster || l.LeaderAddr.IsValid()) // no cluster until it is added
+	is.True(awaitLeader(t, rejoined.Group).LeaderAddr.IsValid())
+	eventually(t, "the rejoined replica is a voter and the lost one is removed", func() bool {
+		n := rejoined.currentNode()
 		if n == nil {
 			return false
 		}
 		members := n.Status().Membership
-		_, stays := members.Find(lost)
-		return members.IsVoter(again.self.ID) && !stays && members.VoterCount() == 3
+		_, lostIsMember := members.Find(lostID)
+		return members.IsVoter(rejoined.self.ID) && !lostIsMember && members.VoterCount() == 3
 	})
 }
--- a/internal/group/keep.go
+++ b/internal/group/keep.go
@@ -16,42 +16,44 @@
 )
 
 const (
-	// keepInterval is the time between looks at the membership.
-	keepInterval = 250 * time.Millisecond
-	// joinInterval is the time between requests to be added.
-	joinInterval = 500 * time.Millisecond
-	// leaderless is how long a replica hears of no leader before it asks whether
-	// it is still a member.
-	leaderless = 2 * time.Second
-	// changeTimeout bounds one change of the membership.
-	changeTimeout = 5 * time.Second
+	// reconcileInterval is the time between reconciliations of the membership.
+	reconcileInterval = 250 * time.Millisecond
+	// joinRequestInterval is the time between checks for a leader, and so between
+	// join requests.
+	joinRequestInterval = 500 * time.Millisecond
+	// leaderlessTimeout is the time without a known leader after which a replica
+	// of a cluster sends join requests, as it may have been removed.
+	leaderlessTimeout = 2 * time.Second
+	// membershipChangeTimeout limits the duration of one membership change.
+	membershipChangeTimeout = 5 * time.Second
 )
 
-// keepMembers maintains the membership while this replica leads.
-func (g *Group) keepMembers(ctx context.Context) {
+// reconcileMembership applies the reconciler's changes while this replica is the
+// leader.
+func (g *Group) reconcileMembership(ctx context.Context) {
 	began := g.options.Now()
-	var keeper *roster.Reconciler
-	pace.Every(ctx, keepInterval, func() {
-		n := g.current()
+	var reconciler *roster.Reconciler
+	pace.Every(ctx, reconcileInterval, func() {
+		n := g.currentNode()
 		if n == nil {
 			return
 		}
 		status := n.Status()
 		if status.Role != quorum.Leader {
-			keeper = nil
+			reconciler = nil
 			return
 		}
-		if keeper == nil {
-			keeper = roster.New(g.options.Keep)
+		if reconciler == nil {
+			reconciler = roster.New(g.options.Membership)
 		}
 		now := g.options.Now().Sub(began)
-		if change, ok := keeper.NextChange(now, stateOf(status)); ok {
-			g.change(ctx, n, change)
+		if change, ok := reconciler.NextChange(now, rosterState(status)); ok {
+			g.changeMembership(ctx, n, change)
 		}
 	})
 }
 
-func stateOf(s replica.Status) roster.State {
+func rosterState(s replica.Status) roster.State {
 	active := make(map[quorum.ReplicaID]bool, len(s.Progress))
 	for _, p := range s.Progress {
 		active[p.ID] = p.RecentlyActive
@@ -62,9 +64,10 @@
 	}
 }
 
-// change makes one change of the membership.
-func (g *Group) change(ctx context.Context, n *replica.Node, c quorum.ConfChange) {
-	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
+// changeMembership proposes one membership change and logs its outcome, unless the
+// learner has not caught up yet.
+func (g *Group) changeMembership(ctx context.Context, n *replica.Node, c quorum.ConfChange) {
+	ctx, cancel := context.WithTimeout(ctx, membershipChangeTimeout)
 	defer cancel()
 	var err error
 	if c.Op == quorum.PromoteLearner {
@@ -78,38 +81,39 @@
 	}
 	switch {
 	case err == nil:
-		g.options.Log.Info("Changed the membership.", fields...)
+		g.options.Log.Info("Changed the control group's membership.", fields...)
 	case !errorx.IsOfType(err, quorum.ErrNotCaughtUp):
-		g.options.Log.Warn("Could not change the membership.", append(fields, zap.Error(err))...)
+		g.options.Log.Warn("Could not change the control group's membership.", append(fields, zap.Error(err))...)
 	}
 }
 
-// joinCluster asks to be added whenever this replica has no leader for a while:
-// it belongs to no cluster, or was removed from it.
-func (g *Group) joinCluster(ctx context.Context) {
-	var alone time.Time
-	pace.Every(ctx, joinInterval, func() {
-		n := g.current()
+// joinWhileLeaderless sends join requests while this replica belongs to no cluster,
+// or has known no leader for leaderlessTimeout: it may have been removed.
+func (g *Group) joinWhileLeaderless(ctx context.Context) {
+	var leaderlessSince time.Time
+	pace.Every(ctx, joinRequestInterval, func() {
+		n := g.currentNode()
 		if n == nil {
-			return // founding
+			return // the cluster is being bootstrapped
 		}
 		now := g.options.Now()
 		status := n.Status()
 		if status.Leader != 0 {
-			alone = time.Time{}
+			leaderlessSince = time.Time{}
 			return
 		}
-		if alone.IsZero() {
-			alone = now
+		if leaderlessSince.IsZero() {
+			leaderlessSince = now
 		}
-		if status.Cluster == 0 || now.Sub(alone) >= leaderless {
-			g.askToJoin(ctx)
+		if status.Cluster == 0 || now.Sub(leaderlessSince) >= leaderlessTimeout {
+			g.requestJoin(ctx)
 		}
 	})
 }
 
-// askToJoin asks the seeds, and the leader that they name.
-func (g *Group) askToJoin(ctx context.Context) {
+// requestJoin sends a join request to one seed after another, and to the leader
+// that the seed reports, until one accepts.
+func (g *Group) requestJoin(ctx context.Context) {
 	for _, seed := range g.options.Seeds() {
 		if seed == g.options.Addr {
 			continue
@@ -121,13 +125,14 @@
 		if err == nil {
 			return
 		}
-		g.options.Log.Debug("Could not ask to be added.", zap.Stringer("seed", seed), zap.Error(err))
+		g.options.Log.Debug("Join request failed.", zap.Stringer("seed", seed), zap.Error(err))
 	}
 }
 
-// admit adds a replica that asks for it, or names the leader that can.
-func (g *Group) admit(ctx context.Context, who quorum.Member) replicalink.Admission {
-	n := g.current()
+// admit answers a join request: the leader adds the candidate, a follower returns
+// the leader's address.
+func (g *Group) admit(ctx context.Context, candidate quorum.Member) replicalink.Admission {
+	n := g.currentNode()
 	if n == nil {
 		return replicalink.Admission{Reason: "this replica belongs to no cluster yet"}
 	}
@@ -138,21 +143,21 @@
 	if status.Role != quorum.Leader {
 		return replicalink.Admission{Reason: "no leader is known"}
 	}
-	if _, known := status.Membership.Find(who.ID); known {
+	if _, isMember := status.Membership.Find(candidate.ID); isMember {
 		return replicalink.Admission{Leader: g.options.Addr.String(), Accepted: true}
 	}
-	addr, err := netip.ParseAddrPort(who.Address)
+	addr, err := netip.ParseAddrPort(candidate.Address)
 	if err == nil {
-		ctx, cancel := context.WithTimeout(ctx, changeTimeout)
+		ctx, cancel := context.WithTimeout(ctx, membershipChangeTimeout)
 		defer cancel()
-		err = g.AddReplica(ctx, who.Name, addr)
+		err = g.AddReplica(ctx, candidate.Name, addr)
 	}
 	if err != nil {
-		g.options.Log.Warn("Could not add a replica that asks for it.", zap.String("name", who.Name),
-			zap.String("addr", who.Address), zap.Error(err))
+		g.options.Log.Warn("Could not add the replica that requested to join.", zap.String("name", candidate.Name),
+			zap.String("addr", candidate.Address), zap.Error(err))
 		return replicalink.Admission{Reason: err.Error()}
 	}
-	g.options.Log.Info("Added a replica that asked for it.", zap.Stringer("replica", who.ID),
-		zap.String("name", who.Name), zap.String("addr", who.Address))
+	g.options.Log.Info("Added the replica that requested to join.", zap.Stringer("replica", candidate.ID),
+		zap.String("name", candidate.Name), zap.String("addr", candidate.Address))
 	return replicalink.Admission{Leader: g.options.Addr.String(), Accepted: true}
 }
--- a/internal/group/leadership.go
+++ b/internal/group/leadership.go
@@ -6,36 +6,37 @@
 	"fulmarmount.org/core/quorum"
 )
 
-// Leadership is who leads the control group.
+// Leadership is a replica's view of the control group's leadership.
 type Leadership struct {
-	// Leading is set while this process leads.
-	Leading bool
-	// Term grows with every leader.
+	// IsLeader is set while this process is the leader.
+	IsLeader bool
+	// Term is the replica's current term; it increases with every election.
 	Term uint64
-	// Leader is the leader's address, the zero value while none is known.
-	Leader netip.AddrPort
-	// Waiting is set while the replica belongs to no cluster: it will hear of no
-	// leader soon.
-	Waiting bool
+	// LeaderAddr is the leader's address, or the zero value if it is not known.
+	LeaderAddr netip.AddrPort
+	// HasNoCluster is set while the replica belongs to no cluster and so cannot
+	// learn of a leader soon.
+	HasNoCluster bool
 }
 
-// Leadership returns who leads, and a channel that is closed when that changes.
+// Leadership returns the current leadership, and a channel that is closed when it
+// changes.
 func (g *Group) Leadership() (Leadership, <-chan struct{}) {
 	select {
 	case <-g.started:
 	default:
-		return Leadership{Waiting: true}, g.started
+		return Leadership{HasNoCluster: true}, g.started
 	}
-	n := g.current()
+	n := g.currentNode()
 	if n == nil {
-		return Leadership{}, nil // it could not start, and never will
+		return Leadership{}, nil // the start failed and is not retried
 	}
 	soft, changed := n.Leader()
 	status := n.Status()
-	l := Leadership{Leading: soft.Role == quorum.Leader, Term: soft.Term, Waiting: len(status.Membership.Members) == 0}
+	l := Leadership{IsLeader: soft.Role == quorum.Leader, Term: soft.Term, HasNoCluster: len(status.Membership.Members) == 0}
 	if member, ok := status.Membership.Find(soft.Leader); ok {
-		// A member whose address does not parse cannot be reached.
-		l.Leader, _ = netip.ParseAddrPort(member.Address)
+		// An invalid address leaves the zero value: the member cannot be reached.
+		l.LeaderAddr, _ = netip.ParseAddrPort(member.Address)
 	}
 	return l, changed
 }
--- a/internal/group/members.go
+++ b/internal/group/members.go
@@ -21,15 +21,15 @@
 	for _, m := range status.Membership.Members {
 		out = append(out, admin.Replica{
 			ID: m.ID.String(), Name: m.Name, Addr: m.Address, Voter: !m.IsLearner,
-			Leader: m.ID == status.Leader, Match: match(status, m.ID),
+			Leader: m.ID == status.Leader, Match: matchIndex(status, m.ID),
 		})
 	}
 	return out, nil
 }
 
-// match returns the last entry that a replica is known to hold. Followers
-// know of themselves only.
-func match(s replica.Status, id quorum.ReplicaID) uint64 {
+// matchIndex returns the index of the last entry that the log of a replica is known
+// to hold, or 0. A follower knows only its own.
+func matchIndex(s replica.Status, id quorum.ReplicaID) uint64 {
 	if id == s.ID {
 		return s.LastIndex
 	}
@@ -41,25 +41,25 @@
 	return 0
 }
 
-// AddReplica implements admin.Replicas. It asks the replica at addr for its
-// identity first.
+// AddReplica implements admin.Replicas. It queries the identity of the replica at
+// addr, and adds it as a learner if its control group, cluster and name match.
 func (g *Group) AddReplica(ctx context.Context, name string, addr netip.AddrPort) error {
-	n, err := g.leading(ctx)
+	n, err := g.leaderNode(ctx)
 	if err != nil {
 		return err
 	}
 	identity, err := g.link.Identify(ctx, addr)
 	if err != nil {
-		return Waiting.Wrap(err, "no replica answers at %s", addr)
+		return ErrNoCluster.Wrap(err, "no replica answers at %s", addr)
 	}
 	cluster := n.Status().Cluster
 	switch {
-	case identity.Group != g.options.Cluster:
-		return Refused.New("replica at %s is of control group %q", addr, identity.Group)
+	case identity.Group != g.options.ClusterName:
+		return ErrRejected.New("replica at %s is of control group %q", addr, identity.Group)
 	case identity.Cluster != 0 && identity.Cluster != cluster:
-		return Refused.New("replica at %s is of cluster %s; this one is %s", addr, identity.Cluster, cluster)
+		return ErrRejected.New("replica at %s is of cluster %s; this one is %s", addr, identity.Cluster, cluster)
 	case identity.Member.Name != name:
-		return Refused.New("replica at %s is %q", addr, identity.Member.Name)
+		return ErrRejected.New("replica at %s is %q", addr, identity.Member.Name)
 	}
 	return n.AddLearner(ctx, quorum.Member{ID: identity.Member.ID, Name: name, Address: addr.String()})
 }
@@ -68,17 +68,18 @@
 func (g *Group) RemoveReplica(ctx context.Context, id string) error {
 	number, err := strconv.ParseUint(id, 16, 64)
 	if err != nil {
-		return Refused.New("%q is not a replica's ID", id)
+		return ErrRejected.New("%q is not a replica's ID", id)
 	}
-	n, err := g.leading(ctx)
+	n, err := g.leaderNode(ctx)
 	if err != nil {
 		return err
 	}
 	return n.Remove(ctx, quorum.ReplicaID(number))
 }
 
-// leading returns the replica if it leads, else an error that names the leader.
-func (g *Group) leading(ctx context.Context) (*replica.Node, error) {
+// leaderNode returns this process's replica if it is the leader, otherwise an error
+// that names the leader.
+func (g *Group) leaderNode(ctx context.Context) (*replica.Node, error) {
 	n, err := g.Node(ctx)
 	if err != nil {
 		return nil, err
@@ -93,33 +94,33 @@
 	return nil, replica.NotLeader.New("no leader is known")
 }
 
-// Dump is the state of the replica for the process's dump.
+// Dump is the replica's section of the process's state dump.
 type Dump struct {
-	Replica   string           `json:"replica"`
-	Cluster   string           `json:"cluster"`
-	Role      string           `json:"role"`
-	Leader    string           `json:"leader"`
-	Term      uint64           `json:"term"`
-	Last      uint64           `json:"last"`
-	Committed uint64           `json:"committed"`
-	Applied   uint64           `json:"applied"`
-	Snapshot  uint64           `json:"snapshot"`
-	Replicas  []admin.Replica  `json:"replicas"`
-	Counters  replica.Counters `json:"counters"`
-	// Error is why the replica has ended.
+	Replica       string           `json:"replica"`
+	Cluster       string           `json:"cluster"`
+	Role          string           `json:"role"`
+	Leader        string           `json:"leader"`
+	Term          uint64           `json:"term"`
+	LastIndex     uint64           `json:"last"`
+	CommitIndex   uint64           `json:"committed"`
+	AppliedIndex  uint64           `json:"applied"`
+	SnapshotIndex uint64           `json:"snapshot"`
+	Replicas      []admin.Replica  `json:"replicas"`
+	Counters      replica.Counters `json:"counters"`
+	// Error is the error that stopped the replica.
 	Error string `json:"error,omitempty"`
 }
 
 // Dump returns the state of the replica.
 func (g *Group) Dump() Dump {
 	d := Dump{Replica: g.self.ID.String(), Role: "waiting"}
-	n := g.current()
+	n := g.currentNode()
 	if n == nil {
 		return d
 	}
 	s := n.Status()
 	d.Cluster, d.Role, d.Leader, d.Term = s.Cluster.String(), s.Role.String(), s.Leader.String(), s.Term
-	d.Last, d.Committed, d.Applied, d.Snapshot = s.LastIndex, s.CommitIndex, s.AppliedIndex, s.SnapshotIndex
+	d.LastIndex, d.CommitIndex, d.AppliedIndex, d.SnapshotIndex = s.LastIndex, s.CommitIndex, s.AppliedIndex, s.SnapshotIndex
 	d.Counters = s.Counters
 	if err := n.Err(); err != nil {
 		d.Error = err.Error()
--- a/internal/group/processes_test.go
+++ b/internal/group/processes_test.go
@@ -27,10 +27,10 @@
 	"fulmarmount.org/fulmarmount/internal/subscribe"
 )
 
-// wait bounds each wait; it decides nothing where the code works.
-const wait = 60 * time.Second
+// testTimeout limits each wait. It is reached only in a failing test.
+const testTimeout = 60 * time.Second
 
-// vm is one control VM: a process and its folder.
+// vm is one control VM: a process and its directory.
 type vm struct {
 	name   string
 	addr   netip.AddrPort
@@ -42,36 +42,36 @@
 
 func (v *vm) socket() string { return filepath.Join(v.dir, "s") }
 
-// site is three control VMs on loopback, run by the real binaries.
-type site struct {
-	t       *testing.T
-	dir     string
-	vms     []*vm
-	version uint64
-	turn    int                     // the process that answered last
-	answers map[string]fleet.Result // first answers by request ID
+// deployment runs three control VMs on loopback with the real binaries.
+type deployment struct {
+	t        *testing.T
+	dir      string
+	vms      []*vm
+	version  uint64
+	proposer int                     // index of the process that receives proposals
+	results  map[string]fleet.Result // first result by request ID
 }
 
-func newSite(t *testing.T) *site {
+func newDeployment(t *testing.T) *deployment {
 	t.Helper()
-	s := &site{t: t, dir: t.TempDir(), answers: map[string]fleet.Result{}}
+	s := &deployment{t: t, dir: t.TempDir(), results: map[string]fleet.Result{}}
 	for _, name := range []string{"fulmard", "fulmarctl"} {
 		s.run("go", "build", "-o", filepath.Join(s.dir, name), "fulmarmount.org/fulmarmount/cmd/"+name)
 	}
-	s.ctl("keys", "--dir", s.path("keys"), "init")
+	s.fulmarctl("keys", "--dir", s.path("keys"), "init")
 	var peers []string
 	for i := range 3 {
 		name := fmt.Sprintf("control-%d", i+1)
-		s.ctl("keys", "--dir", s.path("keys"), "issue", "--roles", "control", name)
+		s.fulmarctl("keys", "--dir", s.path("keys"), "issue", "--roles", "control", name)
 		v := &vm{name: name, addr: freePort(t), dir: s.path(name)}
 		v.client = admin.NewClient(admin.ClientOptions{Socket: v.socket()})
 		t.Cleanup(v.client.Close)
 		s.vms = append(s.vms, v)
 		peers = append(peers, name+"="+v.addr.String())
 	}
-	s.ctl("keys", "--dir", s.path("keys"), "issue", "--roles", "balancer", "balancer-1")
+	s.fulmarctl("keys", "--dir", s.path("keys"), "issue", "--roles", "balancer", "balancer-1")
 	for _, v := range s.vms {
-		s.configure(v, strings.Join(peers, ", "))
+		s.writeSettings(v, strings.Join(peers, ", "))
 		s.start(v)
 	}
 	t.Cleanup(func() {
@@ -91,21 +91,21 @@
 	return netip.MustParseAddrPort(conn.LocalAddr().String())
 }
 
-func (s *site) path(name string) string { return filepath.Join(s.dir, name) }
+func (s *deployment) path(name string) string { return filepath.Join(s.dir, name) }
 
-func (s *site) run(name string, args ...string) {
+func (s *deployment) run(name string, args ...string) {
 	s.t.Helper()
 	if out, err := exec.Command(name, args...).CombinedOutput(); err != nil {
 		s.t.Fatalf("%s %v: %v\n%s", name, args, err, out)
 	}
 }
 
-func (s *site) ctl(args ...string) {
+func (s *deployment) fulmarctl(args ...string) {
 	s.t.Helper()
 	s.run(s.path("fulmarctl"), args...)
 }
 
-func (s *site) configure(v *vm, peers string) {
+func (s *deployment) writeSettings(v *vm, peers string) {
 	s.t.Helper()
 	text := fmt.Sprintf("[process]\nname = %s\nzone = zone-a\nroles = control\ndata_dir = data\n"+
 		"[tls]\nca = %[2]s/ca.pem\ncert = %[2]s/%[1]s.pem\nkey = %[2]s/%[1]s.key\npacket_keys = %[2]s/%[3]s\n"+
@@ -119,7 +119,7 @@
 	}
 }
 
-func (s *site) start(v *vm) {
+func (s *deployment) start(v *vm) {
 	s.t.Helper()
 	v.output.Reset()
 	v.cmd = exec.Command(s.path("fulmard"), "--config", filepath.Join(v.dir, "fulmard.ini"))
@@ -130,7 +130,7 @@
 }
 
 // kill sends SIGKILL to the process and waits for its end.
-func (s *site) kill(v *vm) {
+func (s *deployment) kill(v *vm) {
 	if v.cmd == nil {
 		return
 	}
@@ -142,10 +142,10 @@
 	}
 }
 
-// until polls; what it waits for must come, whenever that is.
-func (s *site) until(what string, done func(context.Context) bool) {
+// eventually polls until done returns true, and fails the test after testTimeout.
+func (s *deployment) eventually(condition string, done func(context.Context) bool) {
 	s.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), wait)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
 		if done(ctx) {
@@ -153,29 +153,29 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	s.t.Fatalf("%s: not within %s", what, wait)
+	s.t.Fatalf("condition %q not met within %s", condition, testTimeout)
 }
 
-// propose sends a command to one process after another until one answers,
-// always with the same request ID.
-func (s *site) propose(c fleet.Command) fleet.Result {
+// propose sends a command to one process after another until one returns a
+// result, always with the same request ID.
+func (s *deployment) propose(c fleet.Command) fleet.Result {
 	s.t.Helper()
 	var result fleet.Result
-	s.until("an answer to "+c.RequestID, func(ctx context.Context) bool {
+	s.eventually("result of "+c.RequestID, func(ctx context.Context) bool {
 		ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
 		defer cancel()
 		var err error
-		result, err = s.vms[s.turn].client.Propose(ctx, c)
+		result, err = s.vms[s.proposer].client.Propose(ctx, c)
 		if err != nil {
-			s.turn = (s.turn + 1) % len(s.vms)
+			s.proposer = (s.proposer + 1) % len(s.vms)
 		}
 		return err == nil
 	})
 	return result
 }
 
-// command returns the apply that makes version.
-func command(version uint64) fleet.Command {
+// applyCommand returns the apply command that creates version.
+func applyCommand(version uint64) fleet.Command {
 	return fleet.Command{
 		Kind: fleet.KindApply, RequestID: fmt.Sprint("request-", version), Author: "test", ExpectedVersion: version - 1,
 		Document: &fleet.Document{Defaults: fleet.DefaultSettings(), Services: []fleet.Service{{
@@ -185,23 +185,23 @@
 	}
 }
 
-// apply puts n further versions in force.
-func (s *site) apply(n int) {
+// apply creates and activates n further versions.
+func (s *deployment) apply(n int) {
 	s.t.Helper()
 	for range n {
 		s.version++
-		c := command(s.version)
+		c := applyCommand(s.version)
 		result := s.propose(c)
 		if result.Outcome != fleet.OutcomeAccepted || result.Version != s.version {
 			s.t.Fatalf("version %d: %+v", s.version, result)
 		}
-		s.answers[c.RequestID] = result
+		s.results[c.RequestID] = result
 	}
 }
 
-func (s *site) replicas() (out []admin.Replica) {
+func (s *deployment) replicas() (out []admin.Replica) {
 	s.t.Helper()
-	s.until("the list of replicas with a leader", func(ctx context.Context) bool {
+	s.eventually("the list of replicas with a leader", func(ctx context.Context) bool {
 		for _, v := range s.vms {
 			if v.cmd == nil {
 				continue
@@ -219,7 +219,7 @@
 	return out
 }
 
-func (s *site) leader() *vm {
+func (s *deployment) leader() *vm {
 	s.t.Helper()
 	for _, r := range s.replicas() {
 		if r.Leader {
@@ -230,7 +230,7 @@
 	return nil
 }
 
-func (s *site) find(name string) *vm {
+func (s *deployment) find(name string) *vm {
 	for _, v := range s.vms {
 		if v.name == name {
 			return v
@@ -239,7 +239,7 @@
 	return nil
 }
 
-func (s *site) follower() *vm {
+func (s *deployment) follower() *vm {
 	leader := s.leader()
 	for _, v := range s.vms {
 		if v != leader {
@@ -249,10 +249,10 @@
 	return nil
 }
 
-// operate runs fulmarctl against one process after another until it succeeds.
-func (s *site) operate(args ...string) {
+// retryFulmarctl runs fulmarctl against one process after another until it succeeds.
+func (s *deployment) retryFulmarctl(args ...string) {
 	s.t.Helper()
-	s.until(strings.Join(args, " "), func(context.Context) bool {
+	s.eventually(strings.Join(args, " "), func(context.Context) bool {
 		for _, v := range s.vms {
 			if exec.Command(s.path("fulmarctl"), append([]string{"--socket", v.socket()}, args...)...).Run() == nil {
 				return true
@@ -262,37 +262,38 @@
 	})
 }
 
-// wipe loses the VM's disk and starts it again.
-func (s *site) wipe(v *vm) {
+// wipe kills the VM's process, deletes its replica's files and restarts it.
+func (s *deployment) wipe(v *vm) {
 	s.kill(v)
-	if err := os.RemoveAll(group.Folder(filepath.Join(v.dir, "data"))); err != nil {
+	if err := os.RemoveAll(group.StoreDir(filepath.Join(v.dir, "data"))); err != nil {
 		s.t.Fatal(err)
 	}
 	s.start(v)
 }
 
-// daemon follows the fleet as a balancer does and notes versions.
-type daemon struct {
-	mu    sync.Mutex
-	last  fleet.Share
-	falls []string
+// subscriber receives the fleet's configuration as a balancer does and records
+// every version that is older than the one before.
+type subscriber struct {
+	mu          sync.Mutex
+	lastShare   fleet.Share
+	regressions []string
 }
 
-func (d *daemon) adopt(u proto.Update) {
+func (d *subscriber) recordUpdate(u proto.Update) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, service := range u.Services {
-		if service.Share < d.last {
-			d.falls = append(d.falls, fmt.Sprintf("from %d to %d", d.last, service.Share))
+		if service.Share < d.lastShare {
+			d.regressions = append(d.regressions, fmt.Sprintf("from %d to %d", d.lastShare, service.Share))
 		}
-		d.last = service.Share
+		d.lastShare = service.Share
 	}
 	for _, name := range u.Removed {
-		d.falls = append(d.falls, "removed "+name)
+		d.regressions = append(d.regressions, "removed "+name)
 	}
 }
 
-func (s *site) follow() *daemon {
+func (s *deployment) subscribe() *subscriber {
 	s.t.Helper()
 	identity, err := keys.Load(s.path("keys/ca.pem"), s.path("keys/balancer-1.pem"), s.path("keys/balancer-1.key"))
 	if err != nil {
@@ -303,12 +304,12 @@
 	for _, v := range s.vms {
 		control = append(control, v.addr)
 	}
-	d := &daemon{}
+	d := &subscriber{}
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	running.Go(func() {
 		subscribe.Run(ctx, subscribe.Options{
-			Name: "balancer-1", Control: subscribe.Fixed(control...), Pool: pool, Adopt: d.adopt, Now: time.Now, Log: zap.NewNop(),
+			Name: "balancer-1", Control: subscribe.Fixed(control...), Pool: pool, Adopt: d.recordUpdate, Now: time.Now, Log: zap.NewNop(),
 		})
 	})
 	s.t.Cleanup(func() {
@@ -319,21 +320,21 @@
 	return d
 }
 
-// TestNoAcknowledgedVersionIsLost kills the leader with SIGKILL during an apply
-// loop, wipes a replica's folder and repairs it, and loses another disk right
-// after. Every version stays, resends get their first answer, and a daemon's
-// version never falls.
-func TestNoAcknowledgedVersionIsLost(t *testing.T) {
+// TestAcknowledgedVersionsSurviveCrashAndDiskLoss kills the leader with SIGKILL
+// during a loop of applies, wipes a replica's directory and replaces the replica,
+// and wipes another one right after. No acknowledged version may be lost, a resent
+// request must return its first result, and a daemon's version must not decrease.
+func TestAcknowledgedVersionsSurviveCrashAndDiskLoss(t *testing.T) {
 	if testing.Short() {
 		t.Skip("runs processes")
 	}
-	s := newSite(t)
+	s := newDeployment(t)
 	s.apply(5)
-	d := s.follow()
-	ctx, cancel := context.WithTimeout(context.Background(), time.Second) // the client would ask again for ever
+	d := s.subscribe()
+	ctx, cancel := context.WithTimeout(context.Background(), time.Second) // the client retries without a limit
 	defer cancel()
 	if _, err := s.follower().client.Progress(ctx, s.version); err == nil {
-		t.Fatal("a follower tells how far a version has spread")
+		t.Fatal("a follower reports the progress of a version, expected an error")
 	}
 
 	killed := s.leader()
@@ -352,8 +353,8 @@
 		}
 	}
 	s.wipe(wiped)
-	s.operate("replica", "add", wiped.name, wiped.addr.String())
-	s.until("the new replica votes", func(context.Context) bool {
+	s.retryFulmarctl("replica", "add", wiped.name, wiped.addr.String())
+	s.eventually("the new replica is a voter", func(context.Context) bool {
 		for _, r := range s.replicas() {
 			if r.Name == wiped.name && r.ID != lost && r.Voter {
 				return true
@@ -361,30 +362,30 @@
 		}
 		return false
 	})
-	s.operate("replica", "remove", lost)
+	s.retryFulmarctl("replica", "remove", lost)
 	for _, v := range s.vms {
 		if v != wiped {
-			s.wipe(v) // a second disk, right after the repair
+			s.wipe(v) // a second disk, right after the replacement
 			break
 		}
 	}
 	s.apply(5)
 
-	for id, first := range s.answers {
+	for id, first := range s.results {
 		var version uint64
 		_, _ = fmt.Sscanf(id, "request-%d", &version)
-		if again := s.propose(command(version)); !reflect.DeepEqual(again, first) {
+		if again := s.propose(applyCommand(version)); !reflect.DeepEqual(again, first) {
 			t.Fatalf("resend of %s: %+v, first %+v", id, again, first)
 		}
 	}
-	s.until("the daemon has the last version", func(context.Context) bool {
+	s.eventually("the daemon receives the last version", func(context.Context) bool {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		return uint64(d.last) == s.version
+		return uint64(d.lastShare) == s.version
 	})
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if len(d.falls) > 0 {
-		t.Fatalf("the daemon's version fell: %v", d.falls)
+	if len(d.regressions) > 0 {
+		t.Fatalf("the daemon's version decreased: %v", d.regressions)
 	}
 }
--- a/internal/group/recover.go
+++ b/internal/group/recover.go
@@ -14,76 +14,78 @@
 	"fulmarmount.org/fulmarmount/internal/replica"
 )
 
-// reopenInterval is the time between attempts to go on after a failed write.
+// reopenInterval is the time between attempts to reopen the store after a failed
+// write.
 const reopenInterval = 500 * time.Millisecond
 
-// Lost says that the disk no longer holds the replica that it held.
-var Lost = Errors.NewType("lost")
+// ErrReplicaMismatch reports that the reopened store holds another replica's state.
+var ErrReplicaMismatch = Errors.NewType("lost")
 
-// newReplica runs a replica with what a store holds.
-func (g *Group) newReplica(s store) (*replica.Node, error) {
+// newNode starts a replica with the state in a store.
+func (g *Group) newNode(s store) (*replica.Node, error) {
 	return replica.Start(replica.Options{
-		Store: s, Machine: g.options.Machine, Transport: g.link,
-		Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), Tick: g.options.Tick, Log: g.options.Log,
+		Store: s, Machine: g.options.StateMachine, Transport: g.link,
+		Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), Tick: g.options.TickInterval, Log: g.options.Log,
 	})
 }
 
-// watch starts the replica again whenever a write of its store has failed: a disk
-// that was full or refused writes may take them later. A replica that has lost what
-// it acknowledged stays ended.
-func (g *Group) watch(ctx context.Context) {
+// restartAfterStoreFailure restarts the replica after a failed write of its store: a
+// disk that was full or rejected writes may accept them later. A replica that has
+// lost acknowledged state stays stopped.
+func (g *Group) restartAfterStoreFailure(ctx context.Context) {
 	select {
 	case <-ctx.Done():
 		return
 	case <-g.started:
 	}
-	for n := g.current(); n != nil; n = g.current() {
+	for n := g.currentNode(); n != nil; n = g.currentNode() {
 		select {
 		case <-ctx.Done():
 			return
 		case <-n.Done():
 		}
 		err := n.Err()
-		if err == nil || errorx.IsOfType(err, quorum.ErrLogRolledBack) || g.options.Folder == "" {
+		if err == nil || errorx.IsOfType(err, quorum.ErrLogRolledBack) || g.options.Dir == "" {
 			return
 		}
-		if !g.reopen(ctx) {
+		if !g.reopenStore(ctx) {
 			return
 		}
 		n.Retire()
 	}
 }
 
-// reopen tries until the store opens again and reports whether it has.
-func (g *Group) reopen(ctx context.Context) bool {
+// reopenStore retries until the store is open and the replica runs again, or ctx
+// ends, and reports whether it succeeded.
+func (g *Group) reopenStore(ctx context.Context) bool {
 	if err := g.store.Close(); err != nil {
-		g.options.Log.Warn("Could not close the store that failed.", zap.Error(err))
+		g.options.Log.Warn("Could not close the failed store. Reopening it anyway.", zap.Error(err))
 	}
 	for pace.Sleep(ctx, reopenInterval) {
-		err := g.tryReopen()
+		err := g.tryReopenStore()
 		if err == nil {
-			g.options.Log.Info("Replica goes on with what its disk holds.")
+			g.options.Log.Info("Restarted the replica from its reopened store.")
 			return true
 		}
-		g.options.Log.Warn("Replica cannot go on yet.", zap.Error(err))
+		g.options.Log.Warn("Could not restart the replica from its store. Retrying.", zap.Error(err))
 	}
 	return false
 }
 
-func (g *Group) tryReopen() error {
-	s, err := g.options.open(disk.Options{Folder: g.options.Folder, Rewrite: true})
+func (g *Group) tryReopenStore() error {
+	s, err := g.options.openStore(disk.Options{Folder: g.options.Dir, Rewrite: true})
 	if err != nil {
 		return err
 	}
 	if s.Replica() != g.self.ID {
-		err = Lost.New("the disk holds replica %s, not %s", s.Replica(), g.self.ID)
+		err = ErrReplicaMismatch.New("reopened store holds replica %s, expected %s", s.Replica(), g.self.ID)
 	}
 	var n *replica.Node
 	if err == nil {
-		n, err = g.newReplica(s)
+		n, err = g.newNode(s)
 	}
 	if err != nil {
-		return errorx.DecorateMany("replica does not start", err, s.Close())
+		return errorx.DecorateMany("could not restart the replica", err, s.Close())
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/group/recover_test.go
+++ b/internal/group/recover_test.go
@@ -15,62 +15,62 @@
 // fullDisk is a store whose writes fail while the disk is full.
 type fullDisk struct {
 	store
-	full *atomic.Bool
+	isFull *atomic.Bool
 }
 
-var errFull = errors.New("no space left on device")
+var errNoSpace = errors.New("no space left on device")
 
 func (d fullDisk) Save(rd quorum.Ready) error {
-	if d.full.Load() {
-		return errFull
+	if d.isFull.Load() {
+		return errNoSpace
 	}
 	return d.store.Save(rd)
 }
 
-// A disk that is full ends the replica, which leads nothing meanwhile. With space it
-// goes on by itself, and holds what was acknowledged.
-func TestReplicaGoesOnWhenItsDiskHasSpaceAgain(t *testing.T) {
+// A full disk stops the replica, which loses leadership. Once the disk has space, the
+// replica must restart by itself and hold every acknowledged command.
+func TestReplicaRestartsWhenItsDiskHasSpaceAgain(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, 3)
-	var all []*process
+	b := newTestGroup(t, 3)
+	var processes []*process
 	full := make([]atomic.Bool, len(b.peers))
 	for i, p := range b.peers {
 		b.openStore = func(o disk.Options) (store, error) {
 			s, err := openStore(o)
-			return fullDisk{store: s, full: &full[i]}, err
+			return fullDisk{store: s, isFull: &full[i]}, err
 		}
-		all = append(all, b.open(p))
+		processes = append(processes, b.open(p))
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	leader := awaitLeader(t, all[0].Group).Leader
+	leader := awaitLeader(t, processes[0].Group).LeaderAddr
 	i := 0
 	for b.peers[i].Addr != leader {
 		i++
 	}
-	ended := all[i].current()
+	failedNode := processes[i].currentNode()
 	full[i].Store(true)
-	onLeader(t, all, func(p *process) error {
+	onLeader(t, processes, func(p *process) error {
 		_, err := p.Propose(ctx, []byte("while full"))
 		return err
 	})
-	<-ended.Done()
-	l, _ := all[i].Leadership()
-	is.True(!l.Leading)
+	<-failedNode.Done()
+	l, _ := processes[i].Leadership()
+	is.True(!l.IsLeader)
 	full[i].Store(false)
-	until(t, "the replica runs again", func() bool { n := all[i].current(); return n != ended && n.Err() == nil })
-	until(t, "it holds what was acknowledged", func() bool {
-		if all[i].Barrier(ctx) != nil {
+	eventually(t, "the replica runs again", func() bool { n := processes[i].currentNode(); return n != failedNode && n.Err() == nil })
+	eventually(t, "the replica holds the acknowledged command", func() bool {
+		if processes[i].Barrier(ctx) != nil {
 			return false
 		}
-		all[i].state.mu.Lock()
-		defer all[i].state.mu.Unlock()
-		for _, item := range all[i].state.items {
+		processes[i].state.mu.Lock()
+		defer processes[i].state.mu.Unlock()
+		for _, item := range processes[i].state.commands {
 			if item == "while full" {
 				return true
 			}
 		}
 		return false
 	})
-	is.True(awaitLeader(t, all[i].Group).Leader.IsValid()) // and whoever waits hears of leaders again
+	is.True(awaitLeader(t, processes[i].Group).LeaderAddr.IsValid()) // and Leadership signals changes again
 }
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -41,18 +41,18 @@
 	o.pool.SetSilence(o.Settings.Join.Silence)
 	var err error
 	o.Group, err = group.Open(group.Options{
-		Name:    o.Settings.Name,
-		Addr:    o.Settings.Control.Listen,
-		Cluster: o.Settings.Control.Cluster,
-		Peers:   peers,
-		Seeds:   o.joins(),
-		Keep:    roster.Options{TargetVoters: voters(o.Settings.Control.Tolerate)},
-		Tick:    o.Settings.Control.Tick,
-		Folder:  group.Folder(o.Settings.DataDir),
-		Machine: machine,
-		Pool:    o.pool,
-		Now:     o.Now,
-		Log:     o.Log.Named("replica"),
+		Name:         o.Settings.Name,
+		Addr:         o.Settings.Control.Listen,
+		ClusterName:  o.Settings.Control.Cluster,
+		Peers:        peers,
+		Seeds:        o.joins(),
+		Membership:   roster.Options{TargetVoters: voters(o.Settings.Control.Tolerate)},
+		TickInterval: o.Settings.Control.Tick,
+		Dir:          group.StoreDir(o.Settings.DataDir),
+		StateMachine: machine,
+		Pool:         o.pool,
+		Now:          o.Now,
+		Log:          o.Log.Named("replica"),
 	})
 	if err != nil {
 		return err
--- a/internal/role/control/lead.go
+++ b/internal/role/control/lead.go
@@ -30,18 +30,18 @@
 func (c *Control) setLeadership(l group.Leadership) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.term != nil && l.Leading && c.term.epoch == l.Term {
+	if c.term != nil && l.IsLeader && c.term.epoch == l.Term {
 		return
 	}
 	defer c.notify()
-	c.waiting = l.Waiting
+	c.waiting = l.HasNoCluster
 	if c.term != nil {
 		c.options.Log.Info("Leads no longer.", zap.Uint64("term", c.term.epoch))
 		c.term.cancel()
 		c.term = nil
 	}
-	if !l.Leading {
-		c.setLeader(l.Leader)
+	if !l.IsLeader {
+		c.setLeader(l.LeaderAddr)
 		return
 	}
 	c.setLeader(netip.AddrPort{})
--- a/internal/role/control/term.go
+++ b/internal/role/control/term.go
@@ -84,7 +84,7 @@
 	if err := c.options.Group.Barrier(ctx); err != nil {
 		return err
 	}
-	if l, _ := c.options.Group.Leadership(); !l.Leading || l.Term != c.epoch {
+	if l, _ := c.options.Group.Leadership(); !l.IsLeader || l.Term != c.epoch {
 		return NotLeading.New("term %d is over", c.epoch)
 	}
 	return nil
