--- a/internal/ctl/recover.go
+++ b/internal/ctl/recover.go
@@ -37,7 +37,7 @@
 	if !process.Has(settings.RoleControl) {
 		return errUsage.New("%s holds no control role", args[0])
 	}
-	store, err := disk.Open(disk.Options{Folder: group.StoreDir(process.DataDir)})
+	store, err := disk.Open(disk.Options{Dir: group.StoreDir(process.DataDir)})
 	if err != nil {
 		return err
 	}
@@ -50,7 +50,7 @@
 		return err
 	}
 	self := quorum.Member{Name: process.Name, Address: process.Control.Listen.String()}
-	if err := store.Recover(cluster, self); err != nil {
+	if err := store.ForceNewCluster(cluster, self); err != nil {
 		return err
 	}
 	hard := store.State().HardState
--- a/internal/ctl/recover_test.go
+++ b/internal/ctl/recover_test.go
@@ -34,14 +34,14 @@
 	code, _ := run()
 	is.Equal(code, exitFailed) // an empty folder holds nothing to recover
 
-	store, err := disk.Open(disk.Options{Folder: group.StoreDir(filepath.Join(dir, "data"))})
+	store, err := disk.Open(disk.Options{Dir: group.StoreDir(filepath.Join(dir, "data"))})
 	is.NoErr(err)
 	is.NoErr(replica.Bootstrap(store, 7, quorum.Member{ID: store.Replica()}, quorum.Member{ID: 8}, quorum.Member{ID: 9}))
 	is.NoErr(store.Close())
 	code, out := run()
 	is.Equal(code, exitOK)
 	is.True(strings.Contains(out, "only one of cluster"))
-	store, err = disk.Open(disk.Options{Folder: group.StoreDir(filepath.Join(dir, "data"))})
+	store, err = disk.Open(disk.Options{Dir: group.StoreDir(filepath.Join(dir, "data"))})
 	is.NoErr(err)
 	is.Equal(len(store.State().Snapshot.Membership.Members), 1)
 	is.Equal(store.State().Snapshot.Membership.Members[0].Name, "vm-1")
--- a/internal/disk/bench_test.go
+++ b/internal/disk/bench_test.go
@@ -23,16 +23,16 @@
 	return entries
 }
 
-// saver makes entries durable.
-type saver func(entries []quorum.Entry) error
+// saveFunc makes entries durable.
+type saveFunc func(entries []quorum.Entry) error
 
-// BenchmarkSave compares the ways to store the log, with real syncs.
-// FULMARMOUNT_BENCH_FOLDER sets the folder, and so the disk.
+// BenchmarkSave compares this package's log with two libraries, with real syncs.
+// FULMARMOUNT_BENCH_FOLDER sets the parent directory, and so the disk.
 func BenchmarkSave(b *testing.B) {
 	stores := []struct {
 		name string
-		open func(b *testing.B, path string) saver
-	}{{"own", openOwn}, {"wal", openWAL}, {"bbolt", openBolt}}
+		open func(b *testing.B, path string) saveFunc
+	}{{"own", openStore}, {"wal", openWAL}, {"bbolt", openBolt}}
 	for _, batch := range []int{1, 16, 128} {
 		for _, s := range stores {
 			b.Run(fmt.Sprintf("%s/batch=%d", s.name, batch), func(b *testing.B) {
@@ -47,7 +47,7 @@
 	}
 }
 
-func benchSave(b *testing.B, path string, save saver, batch int) {
+func benchSave(b *testing.B, path string, save saveFunc, batch int) {
 	index := uint64(2)
 	for b.Loop() {
 		if err := save(benchEntries(index, batch)); err != nil {
@@ -57,10 +57,10 @@
 	}
 	commits := float64(b.N * batch)
 	b.ReportMetric(commits/b.Elapsed().Seconds(), "commits/s")
-	b.ReportMetric(float64(folderBytes(b, path))/commits, "disk-B/commit")
+	b.ReportMetric(float64(directoryBytes(b, path))/commits, "disk-B/commit")
 }
 
-func folderBytes(b *testing.B, path string) (n int64) {
+func directoryBytes(b *testing.B, path string) (n int64) {
 	files, err := filepath.Glob(filepath.Join(path, "*"))
 	if err != nil {
 		b.Fatal(err)
@@ -73,19 +73,19 @@
 	return n
 }
 
-func openOwn(b *testing.B, path string) saver {
-	s, err := Open(Options{Folder: path})
+func openStore(b *testing.B, path string) saveFunc {
+	s, err := Open(Options{Dir: path})
 	if err != nil {
 		b.Fatal(err)
 	}
-	if err := s.Save(bootstrap()); err != nil {
+	if err := s.Save(bootstrapReady()); err != nil {
 		b.Fatal(err)
 	}
 	b.Cleanup(func() { _ = s.Close() })
-	return func(entries []quorum.Entry) error { return s.Save(saveEntries(2, entries...)) }
+	return func(entries []quorum.Entry) error { return s.Save(readyWithEntries(2, entries...)) }
 }
 
-func openWAL(b *testing.B, path string) saver {
+func openWAL(b *testing.B, path string) saveFunc {
 	log, err := wal.Open(path, nil)
 	if err != nil {
 		b.Fatal(err)
@@ -104,7 +104,7 @@
 	}
 }
 
-func openBolt(b *testing.B, path string) saver {
+func openBolt(b *testing.B, path string) saveFunc {
 	db, err := bbolt.Open(filepath.Join(path, "db"), 0o600, nil)
 	if err != nil {
 		b.Fatal(err)
--- a/internal/disk/errors.go
+++ b/internal/disk/errors.go
@@ -6,16 +6,18 @@
 var Errors = errorx.NewNamespace("disk")
 
 var (
-	// Damaged reports bytes that were once on disk and no longer read back.
-	// The message names file and offset. Replace the replica.
-	Damaged = Errors.NewType("damaged")
-	// Failed reports a write or sync that did not succeed. The store takes
-	// nothing more.
-	Failed = Errors.NewType("failed")
-	// Format reports a file of a format version that this build cannot read.
-	Format = Errors.NewType("format")
-	// Foreign reports files of different replicas or clusters in one folder.
-	Foreign = Errors.NewType("foreign")
-	// InUse reports a folder that another process has open.
-	InUse = Errors.NewType("in_use")
+	// ErrCorrupt reports a file that is missing or no longer holds the bytes that
+	// were written. The message names the file and, within it, the offset. The
+	// replica must be replaced.
+	ErrCorrupt = Errors.NewType("damaged")
+	// ErrIO reports a failed file operation. After a failed write or sync, the store
+	// rejects every further write.
+	ErrIO = Errors.NewType("failed")
+	// ErrUnsupportedFormat reports a file whose format version this build cannot read.
+	ErrUnsupportedFormat = Errors.NewType("format")
+	// ErrIdentityMismatch reports a file of another kind, or files of different replicas
+	// or clusters in one directory.
+	ErrIdentityMismatch = Errors.NewType("foreign")
+	// ErrInUse reports a directory that another process has open.
+	ErrInUse = Errors.NewType("in_use")
 )
--- a/internal/disk/file.go
+++ b/internal/disk/file.go
@@ -8,7 +8,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// file is an open file that can be made durable.
+// file is a file that is open for writing.
 type file interface {
 	io.Writer
 	Sync() error
@@ -16,14 +16,14 @@
 	Close() error
 }
 
-// folder is the port to the file system: one flat folder.
-type folder interface {
-	// List returns the names of all files.
+// directoryFS provides the file operations of one flat directory.
+type directoryFS interface {
+	// List returns the names of all files in the directory.
 	List() ([]string, error)
 	Read(name string) ([]byte, error)
-	// Create makes an empty file, replacing one of that name.
+	// Create creates an empty file, or truncates the existing one.
 	Create(name string) (file, error)
-	// Append opens a file for writing at its end.
+	// Append opens an existing file for writing at its end.
 	Append(name string) (file, error)
 	Rename(from, to string) error
 	Remove(name string) error
@@ -31,15 +31,15 @@
 	Sync() error
 }
 
-// osFolder is a folder of the operating system.
-type osFolder struct{ path string }
+// osDirectory is a directory of the operating system.
+type osDirectory struct{ path string }
 
 const (
-	filePermissions   = 0o600
-	folderPermissions = 0o700
+	filePermissions = 0o600
+	dirPermissions  = 0o700
 )
 
-func (d osFolder) List() ([]string, error) {
+func (d osDirectory) List() ([]string, error) {
 	entries, err := os.ReadDir(d.path)
 	if err != nil {
 		return nil, err
@@ -51,35 +51,35 @@
 	return names, nil
 }
 
-func (d osFolder) Read(name string) ([]byte, error) {
+func (d osDirectory) Read(name string) ([]byte, error) {
 	return os.ReadFile(filepath.Join(d.path, name))
 }
 
-func (d osFolder) Create(name string) (file, error) {
+func (d osDirectory) Create(name string) (file, error) {
 	return d.open(name, os.O_CREATE|os.O_TRUNC)
 }
 
-func (d osFolder) Append(name string) (file, error) {
+func (d osDirectory) Append(name string) (file, error) {
 	return d.open(name, os.O_APPEND)
 }
 
-func (d osFolder) open(name string, flags int) (file, error) {
+func (d osDirectory) open(name string, flags int) (file, error) {
 	f, err := os.OpenFile(filepath.Join(d.path, name), os.O_WRONLY|flags, filePermissions)
 	if err != nil {
 		return nil, err
 	}
-	return dataFile{f}, nil
+	return fdatasyncFile{f}, nil
 }
 
-func (d osFolder) Rename(from, to string) error {
+func (d osDirectory) Rename(from, to string) error {
 	return os.Rename(filepath.Join(d.path, from), filepath.Join(d.path, to))
 }
 
-func (d osFolder) Remove(name string) error {
+func (d osDirectory) Remove(name string) error {
 	return os.Remove(filepath.Join(d.path, name))
 }
 
-func (d osFolder) Sync() error {
+func (d osDirectory) Sync() error {
 	f, err := os.Open(d.path)
 	if err != nil {
 		return err
@@ -91,11 +91,12 @@
 	return err
 }
 
-// dataFile syncs data and size but no timestamps.
-type dataFile struct{ *os.File }
+// fdatasyncFile is a file that Sync flushes with fdatasync: data and size, but no
+// timestamps.
+type fdatasyncFile struct{ *os.File }
 
 // Sync implements file.
-func (f dataFile) Sync() error {
+func (f fdatasyncFile) Sync() error {
 	for {
 		err := unix.Fdatasync(int(f.Fd()))
 		if err != unix.EINTR {
@@ -104,25 +105,26 @@
 	}
 }
 
-// makeFolder makes path and its entry in the parent durable.
-func makeFolder(path string) error {
-	if err := os.MkdirAll(path, folderPermissions); err != nil {
+// createDirectory creates path and makes its entry in the parent directory durable.
+func createDirectory(path string) error {
+	if err := os.MkdirAll(path, dirPermissions); err != nil {
 		return err
 	}
-	return osFolder{filepath.Dir(path)}.Sync()
+	return osDirectory{filepath.Dir(path)}.Sync()
 }
 
 const lockName = "lock"
 
-// lockFolder keeps other processes out until the returned file is closed.
-func lockFolder(path string) (*os.File, error) {
+// lockDirectory locks the directory against other processes until the returned file
+// is closed.
+func lockDirectory(path string) (*os.File, error) {
 	f, err := os.OpenFile(filepath.Join(path, lockName), os.O_CREATE|os.O_RDWR, filePermissions)
 	if err != nil {
-		return nil, Failed.Wrap(err, "folder %q cannot be locked", path)
+		return nil, ErrIO.Wrap(err, "could not open the lock file of directory %q", path)
 	}
 	if err := unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		_ = f.Close()
-		return nil, InUse.Wrap(err, "folder %q is open in another process", path)
+		return nil, ErrInUse.Wrap(err, "directory %q is locked by another process", path)
 	}
 	return f, nil
 }
--- a/internal/disk/files.go
+++ b/internal/disk/files.go
@@ -10,19 +10,21 @@
 	"fulmarmount.org/core/quorum"
 )
 
-// Names of files. Numbers are hexadecimal and of fixed width, so names sort.
+// Prefixes of file names. The numbers after them are hexadecimal and of fixed
+// width, so that names sort by number.
 const (
-	logPrefix      = "log-"
-	snapshotPrefix = "snapshot-"
-	temporary      = "temporary-"
+	logPrefix       = "log-"
+	snapshotPrefix  = "snapshot-"
+	temporaryPrefix = "temporary-"
 )
 
 func logName(generation uint64) string { return fmt.Sprintf("%s%016x", logPrefix, generation) }
 
 func snapshotName(index uint64) string { return fmt.Sprintf("%s%016x", snapshotPrefix, index) }
 
-// numbered returns the greatest number among the names with prefix.
-func numbered(names []string, prefix string) (greatest uint64, found bool) {
+// greatestNumber returns the greatest number among the names with the prefix, and
+// whether there is one.
+func greatestNumber(names []string, prefix string) (greatest uint64, found bool) {
 	for _, name := range names {
 		digits, ok := strings.CutPrefix(name, prefix)
 		var n uint64
@@ -37,19 +39,19 @@
 	return greatest, found
 }
 
-// load reads the newest files, or starts new ones in an empty folder.
+// load reads the newest log and snapshot, or initializes an empty directory.
 func (s *Store) load(random io.Reader) error {
-	names, err := s.files.List()
+	names, err := s.directory.List()
 	if err != nil {
-		return Failed.Wrap(err, "folder cannot be listed")
+		return ErrIO.Wrap(err, "could not list the directory")
 	}
-	snapshot, hasSnapshot := numbered(names, snapshotPrefix)
-	generation, hasLog := numbered(names, logPrefix)
+	snapshot, hasSnapshot := greatestNumber(names, snapshotPrefix)
+	generation, hasLog := greatestNumber(names, logPrefix)
 	if !hasLog {
 		if hasSnapshot {
-			return Damaged.New("file %q is there and the log is not", snapshotName(snapshot))
+			return ErrCorrupt.New("found snapshot file %q but no log file", snapshotName(snapshot))
 		}
-		return s.create(random)
+		return s.initialize(random)
 	}
 	s.generation = generation
 	if err := s.loadLog(); err != nil {
@@ -60,93 +62,93 @@
 			return err
 		}
 	}
-	return s.clean()
+	return s.removeObsoleteFiles()
 }
 
-// create starts the folder of a new replica.
-func (s *Store) create(random io.Reader) error {
-	id, err := drawReplica(random)
+// initialize draws the ID of a new replica and writes its first log.
+func (s *Store) initialize(random io.Reader) error {
+	id, err := randomReplicaID(random)
 	if err != nil {
 		return err
 	}
 	s.replica = id
-	return s.rewrite()
+	return s.rewriteLog()
 }
 
 func (s *Store) loadLog() error {
 	name := logName(s.generation)
-	b, err := s.files.Read(name)
+	b, err := s.directory.Read(name)
 	if err != nil {
-		return Failed.Wrap(err, "file %q cannot be read", name)
+		return ErrIO.Wrap(err, "could not read file %q", name)
 	}
 	c, err := readLog(name, b)
 	if err != nil {
 		return err
 	}
-	if c.header.Cluster != 0 && c.header.Cluster != c.hard.Cluster {
-		return Foreign.New("file %q is of cluster %s and holds state of %s", name, c.header.Cluster, c.hard.Cluster)
+	if c.header.Cluster != 0 && c.header.Cluster != c.hardState.Cluster {
+		return ErrIdentityMismatch.New("header of file %q names cluster %s, its hard state names %s", name, c.header.Cluster, c.hardState.Cluster)
 	}
-	s.replica, s.sequence = c.header.Replica, c.frames
-	s.state.HardState, s.state.Entries = c.hard, c.entries
-	if s.log, err = s.files.Append(name); err != nil {
-		return Failed.Wrap(err, "file %q cannot be opened", name)
+	s.replica, s.sequence = c.header.Replica, c.frameCount
+	s.state.HardState, s.state.Entries = c.hardState, c.entries
+	if s.log, err = s.directory.Append(name); err != nil {
+		return ErrIO.Wrap(err, "could not open file %q", name)
 	}
-	if c.size < int64(len(b)) {
-		if err := s.log.Truncate(c.size); err != nil {
-			return s.fail(err, "cut of file %q at offset %d", name, c.size)
+	if c.validBytes < int64(len(b)) {
+		if err := s.log.Truncate(c.validBytes); err != nil {
+			return s.fail(err, "truncate file %q at offset %d", name, c.validBytes)
 		}
 	}
-	// The process before may have ended between a write and its sync.
+	// The previous process may have stopped between a write and its sync.
 	if err := s.log.Sync(); err != nil {
-		return s.fail(err, "sync of file %q", name)
+		return s.fail(err, "sync file %q", name)
 	}
 	return nil
 }
 
 func (s *Store) loadSnapshot(name string) error {
-	b, err := s.files.Read(name)
+	b, err := s.directory.Read(name)
 	if err != nil {
-		return Failed.Wrap(err, "file %q cannot be read", name)
+		return ErrIO.Wrap(err, "could not read file %q", name)
 	}
 	h, snapshot, err := readSnapshot(name, b)
 	if err != nil {
 		return err
 	}
 	if h.Replica != s.replica {
-		return Foreign.New("file %q is of replica %s and the log of %s", name, h.Replica, s.replica)
+		return ErrIdentityMismatch.New("file %q belongs to replica %s, the log to %s", name, h.Replica, s.replica)
 	}
 	if h.Cluster != s.state.HardState.Cluster {
-		return Foreign.New("file %q is of cluster %s and the log of %s", name, h.Cluster, s.state.HardState.Cluster)
+		return ErrIdentityMismatch.New("file %q belongs to cluster %s, the log to %s", name, h.Cluster, s.state.HardState.Cluster)
 	}
 	s.state.Snapshot = snapshot
 	if len(s.state.Entries) > 0 && !quorum.LogMatchesSnapshot(s.state.Entries, snapshot) {
-		// A crash came between the snapshot's rename and the new log's.
+		// A crash occurred after the rename of the snapshot and before that of the
+		// new log.
 		s.state.Entries = nil
-		return s.rewrite()
+		return s.rewriteLog()
 	}
 	return nil
 }
 
-// writeSnapshot puts a snapshot in place: temporary file, sync, rename, sync
-// of the folder.
+// writeSnapshot writes a snapshot file atomically and makes it the current one.
 func (s *Store) writeSnapshot(snapshot quorum.Snapshot) error {
 	body, err := cbor.Marshal(snapshot)
 	if err != nil {
 		return err
 	}
-	b, err := s.start(kindSnapshot)
+	b, err := s.encodeHeaderFrame(kindSnapshot)
 	if err != nil {
 		return err
 	}
-	if err := s.replace(snapshotName(snapshot.Index), appendFrame(b, 1, body)); err != nil {
+	if err := s.writeFileAtomically(snapshotName(snapshot.Index), appendFrame(b, 1, body)); err != nil {
 		return err
 	}
 	s.state.Snapshot = snapshot
 	return nil
 }
 
-// start returns the header frame of a file.
-func (s *Store) start(kind string) ([]byte, error) {
+// encodeHeaderFrame returns the header frame of a file of the given kind.
+func (s *Store) encodeHeaderFrame(kind string) ([]byte, error) {
 	payload, err := cbor.Marshal(header{
 		Format: formatVersion, Kind: kind, Replica: s.replica, Cluster: s.state.HardState.Cluster,
 	})
@@ -156,19 +158,20 @@
 	return appendFrame(nil, 0, payload), nil
 }
 
-// replace writes a whole file so that after a crash it is there or it is not.
-func (s *Store) replace(name string, b []byte) error {
-	f, err := s.files.Create(temporary + name)
+// writeFileAtomically writes a file so that after a crash it is either complete or
+// absent: it writes and syncs a temporary file, renames it, and syncs the directory.
+func (s *Store) writeFileAtomically(name string, b []byte) error {
+	f, err := s.directory.Create(temporaryPrefix + name)
 	if err != nil {
 		return err
 	}
 	if err := writeAndSync(f, b); err != nil {
 		return err
 	}
-	if err := s.files.Rename(temporary+name, name); err != nil {
+	if err := s.directory.Rename(temporaryPrefix+name, name); err != nil {
 		return err
 	}
-	return s.files.Sync()
+	return s.directory.Sync()
 }
 
 func writeAndSync(f file, b []byte) error {
@@ -183,20 +186,21 @@
 	return f.Close()
 }
 
-// rewriteEntries is the number of entries per record of a rewritten log.
-const rewriteEntries = 4096
+// maxRewriteRecordEntries is the maximum number of entries per record of a rewritten
+// log.
+const maxRewriteRecordEntries = 4096
 
-// rewrite starts the next generation of the log with the state in memory and
-// removes what it replaces.
-func (s *Store) rewrite() error {
-	b, err := s.start(kindLog)
+// rewriteLog writes the next generation of the log from the state in memory and
+// removes the files that it replaces.
+func (s *Store) rewriteLog() error {
+	b, err := s.encodeHeaderFrame(kindLog)
 	if err != nil {
 		return s.fail(err, "log %d", s.generation+1)
 	}
 	s.sequence = 1
 	entries := s.state.Entries
 	for first := true; first || len(entries) > 0; first = false {
-		n := min(len(entries), rewriteEntries)
+		n := min(len(entries), maxRewriteRecordEntries)
 		payload, err := cbor.Marshal(record{HardState: &s.state.HardState, Entries: entries[:n]})
 		if err != nil {
 			return s.fail(err, "log %d", s.generation+1)
@@ -205,42 +209,42 @@
 		s.sequence++
 		entries = entries[n:]
 	}
-	if err := s.replace(logName(s.generation+1), b); err != nil {
+	if err := s.writeFileAtomically(logName(s.generation+1), b); err != nil {
 		return s.fail(err, "log %d", s.generation+1)
 	}
-	return s.switchLog()
+	return s.openNextLog()
 }
 
-// switchLog moves to the next generation.
-func (s *Store) switchLog() error {
+// openNextLog closes the log, opens its next generation and removes obsolete files.
+func (s *Store) openNextLog() error {
 	if s.log != nil {
 		if err := s.log.Close(); err != nil {
-			return s.fail(err, "close of log %d", s.generation)
+			return s.fail(err, "close log %d", s.generation)
 		}
 	}
 	s.generation++
 	var err error
-	if s.log, err = s.files.Append(logName(s.generation)); err != nil {
-		return s.fail(err, "open of log %d", s.generation)
+	if s.log, err = s.directory.Append(logName(s.generation)); err != nil {
+		return s.fail(err, "open log %d", s.generation)
 	}
-	return s.clean()
+	return s.removeObsoleteFiles()
 }
 
-// clean removes files that newer ones replace.
-func (s *Store) clean() error {
-	names, err := s.files.List()
+// removeObsoleteFiles removes temporary files and those replaced by newer ones.
+func (s *Store) removeObsoleteFiles() error {
+	names, err := s.directory.List()
 	if err != nil {
-		return s.fail(err, "list of the folder")
+		return s.fail(err, "list the directory")
 	}
 	for _, name := range names {
-		old := strings.HasPrefix(name, logPrefix) && name < logName(s.generation) ||
+		isObsolete := strings.HasPrefix(name, logPrefix) && name < logName(s.generation) ||
 			strings.HasPrefix(name, snapshotPrefix) && name < snapshotName(s.state.Snapshot.Index) ||
-			strings.HasPrefix(name, temporary)
-		if !old {
+			strings.HasPrefix(name, temporaryPrefix)
+		if !isObsolete {
 			continue
 		}
-		if err := s.files.Remove(name); err != nil {
-			return s.fail(err, "removal of %q", name)
+		if err := s.directory.Remove(name); err != nil {
+			return s.fail(err, "remove file %q", name)
 		}
 	}
 	return nil
--- a/internal/disk/frame.go
+++ b/internal/disk/frame.go
@@ -14,7 +14,7 @@
 //	4  payload length
 //	8  sequence number within the file
 //	16 CRC-32C of the payload
-//	20 CRC-32C of the 20 bytes before
+//	20 CRC-32C of the preceding 20 bytes
 const (
 	frameHeaderBytes = 24
 	frameMagic       = 0x31524d46
@@ -39,51 +39,51 @@
 type frame struct {
 	sequence uint64
 	payload  []byte
-	size     int64 // with its header
+	size     int64 // including the header
 }
 
-// frameFault says what is wrong with the bytes where a frame should start.
+// frameFault is the result of the validation of a frame.
 type frameFault int
 
 const (
-	frameGood    frameFault = iota
-	frameShort              // the file ends within the frame
-	frameBadHead            // the header does not match its checksum
-	frameBadBody            // the payload does not match its checksum
+	frameValid          frameFault = iota
+	frameTruncated                 // the file ends within the frame
+	frameHeaderCorrupt             // the header does not match its checksum
+	framePayloadCorrupt            // the payload does not match its checksum
 )
 
 // readFrame decodes the frame at the start of b.
 func readFrame(b []byte) (frame, frameFault) {
 	if len(b) < frameHeaderBytes {
-		return frame{}, frameShort
+		return frame{}, frameTruncated
 	}
 	head := b[:frameHeaderBytes]
 	if binary.LittleEndian.Uint32(head) != frameMagic ||
 		binary.LittleEndian.Uint32(head[20:]) != crc32.Checksum(head[:20], castagnoli) {
-		return frame{}, frameBadHead
+		return frame{}, frameHeaderCorrupt
 	}
 	f := frame{sequence: binary.LittleEndian.Uint64(head[8:])}
 	f.size = frameHeaderBytes + int64(binary.LittleEndian.Uint32(head[4:]))
 	if int64(len(b)) < f.size {
-		return f, frameShort
+		return f, frameTruncated
 	}
 	f.payload = b[frameHeaderBytes:f.size]
 	if crc32.Checksum(f.payload, castagnoli) != binary.LittleEndian.Uint32(head[16:]) {
-		return f, frameBadBody
+		return f, framePayloadCorrupt
 	}
-	return f, frameGood
+	return f, frameValid
 }
 
-// torn reports whether the bad frame at offset of the file b can be the trace
-// of a write that a crash cut short: the file ends within it, or a whole
-// sector of it, or its part of one, reads as zeros. Anything else was written
-// whole and changed later.
-func torn(b []byte, offset int64, f frame, fault frameFault) bool {
-	if fault == frameShort {
+// isTornWrite reports whether the invalid frame at offset of the file b can result
+// from a write that a crash interrupted: the file ends within the frame, or the
+// frame's part of a sector, at least minTornBytes long, reads as zeros. Any other
+// frame was written completely and corrupted later.
+func isTornWrite(b []byte, offset int64, f frame, fault frameFault) bool {
+	if fault == frameTruncated {
 		return true
 	}
 	end := int64(len(b))
-	if fault == frameBadBody {
+	if fault == framePayloadCorrupt {
 		end = offset + f.size
 	}
 	for at := offset; at < end; {
@@ -96,9 +96,9 @@
 	return false
 }
 
-// laterFrame returns the offset of a good frame after the bad one at offset,
-// or -1.
-func laterFrame(b []byte, offset int64) int64 {
+// nextValidFrame returns the offset of the first valid frame after the invalid one at
+// offset, or -1.
+func nextValidFrame(b []byte, offset int64) int64 {
 	magic := binary.LittleEndian.AppendUint32(nil, frameMagic)
 	for at := offset + 1; ; at++ {
 		i := bytes.Index(b[at:], magic)
@@ -106,16 +106,16 @@
 			return -1
 		}
 		at += int64(i)
-		if _, fault := readFrame(b[at:]); fault == frameGood {
+		if _, fault := readFrame(b[at:]); fault == frameValid {
 			return at
 		}
 	}
 }
 
-// maxDecodedElements bounds the arrays in one frame.
+// maxDecodedElements limits the length of each array in a frame.
 const maxDecodedElements = 1 << 20
 
-var decoding = func() cbor.DecMode {
+var decMode = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{MaxArrayElements: maxDecodedElements}.DecMode()
 	if err != nil {
 		panic(err) // the options are constants
--- a/internal/disk/fuzz_test.go
+++ b/internal/disk/fuzz_test.go
@@ -6,10 +6,10 @@
 	"github.com/matryer/is"
 )
 
-// FuzzReadLog expects that what is read of a log reads back the same from the
-// part that was kept.
+// FuzzReadLog checks that a log reads the same after it is truncated to its valid
+// part.
 func FuzzReadLog(f *testing.F) {
-	b, ends := damagedLog(f)
+	b, ends := threeRecordLog(f)
 	f.Add(b)
 	f.Add(b[:ends[2]+5])
 	f.Add([]byte{})
@@ -19,24 +19,25 @@
 		if err != nil {
 			return
 		}
-		is.True(c.size <= int64(len(b)))
-		again, err := readLog("log", b[:c.size])
+		is.True(c.validBytes <= int64(len(b)))
+		again, err := readLog("log", b[:c.validBytes])
 		is.NoErr(err)
-		is.Equal(again.size, c.size)
+		is.Equal(again.validBytes, c.validBytes)
 		is.Equal(len(again.entries), len(c.entries))
-		is.Equal(again.hard, c.hard)
+		is.Equal(again.hardState, c.hardState)
 	})
 }
 
-// FuzzRecord decodes payloads behind a good checksum.
+// FuzzRecord decodes arbitrary payloads of frames with valid checksums, and checks
+// that the resulting entries have no gap.
 func FuzzRecord(f *testing.F) {
-	b, ends := damagedLog(f)
+	b, ends := threeRecordLog(f)
 	first, _ := readFrame(b)
 	f.Add(b[ends[0]+frameHeaderBytes : ends[1]])
 	f.Add(first.payload)
 	f.Fuzz(func(t *testing.T, payload []byte) {
-		c := logContent{frames: 1}
-		if err := c.take("log", frame{sequence: 1, payload: payload}); err != nil {
+		c := logContent{frameCount: 1}
+		if err := c.addFrame("log", frame{sequence: 1, payload: payload}); err != nil {
 			return
 		}
 		for i := 1; i < len(c.entries); i++ {
@@ -47,17 +48,17 @@
 	})
 }
 
-// FuzzReadSnapshot must refuse whatever it cannot decode.
+// FuzzReadSnapshot checks that invalid snapshot files cause no panic.
 func FuzzReadSnapshot(f *testing.F) {
-	d := newMemFolder()
-	s, err := openMem(d)
+	d := newMemDirectory()
+	s, err := openInMemory(d)
 	if err != nil {
 		f.Fatal(err)
 	}
-	if err := s.Save(bootstrap()); err != nil {
+	if err := s.Save(bootstrapReady()); err != nil {
 		f.Fatal(err)
 	}
-	b := d.names[snapshotName(1)].data
+	b := d.files[snapshotName(1)].data
 	f.Add(b)
 	f.Add(b[:40])
 	f.Fuzz(func(_ *testing.T, b []byte) {
--- a/internal/disk/helpers_test.go
+++ b/internal/disk/helpers_test.go
@@ -9,7 +9,7 @@
 	"fulmarmount.org/core/quorum"
 )
 
-func coreConfig(s *Store) quorum.Config {
+func replicaConfig(s *Store) quorum.Config {
 	state := s.State()
 	return quorum.Config{
 		ID: s.Replica(), Rand: rand.New(rand.NewPCG(1, 1)),
@@ -17,29 +17,29 @@
 	}
 }
 
-func removePrefix(d *memFolder, prefix string) {
-	for name := range d.names {
+func removeFiles(d *memDirectory, prefix string) {
+	for name := range d.files {
 		if strings.HasPrefix(name, prefix) {
-			delete(d.names, name)
+			delete(d.files, name)
 		}
 	}
 }
 
-func edit(d *memFolder, prefix string, change func([]byte) []byte) {
-	for name, i := range d.names {
+func editFiles(d *memDirectory, prefix string, change func([]byte) []byte) {
+	for name, i := range d.files {
 		if strings.HasPrefix(name, prefix) {
 			i.data = change(i.data)
 		}
 	}
 }
 
-// setHeader replaces the header of the snapshot.
-func setHeader(d *memFolder, h header) {
+// setSnapshotHeader replaces the header frame of the snapshot file.
+func setSnapshotHeader(d *memDirectory, h header) {
 	payload, err := cbor.Marshal(h)
 	if err != nil {
 		panic(err)
 	}
-	edit(d, snapshotPrefix, func(b []byte) []byte {
+	editFiles(d, snapshotPrefix, func(b []byte) []byte {
 		first, _ := readFrame(b)
 		return append(appendFrame(nil, 0, payload), b[first.size:]...)
 	})
--- a/internal/disk/memfolder_test.go
+++ b/internal/disk/memfolder_test.go
@@ -9,27 +9,28 @@
 
 var errInjected = errors.New("injected")
 
-// inode is the content of a fake file and the part of it that was synced.
-// After a failed sync the kernel may hold for clean what it has dropped.
+// inode is the content of a fake file and the synced part of it. After a failed sync,
+// isFalselyClean makes later syncs succeed without effect, as a kernel does that
+// marks pages as clean which it failed to write.
 type inode struct {
-	data, synced []byte
-	dropped      bool
+	data, synced   []byte
+	isFalselyClean bool
 }
 
-// memFolder is a folder that fails from its failAt-th operation on, and loses
-// on crash what was not synced.
-type memFolder struct {
-	names, durable map[string]*inode
-	operations     int
-	failAt         int // 0 never fails
-	failOnce       bool
+// memDirectory is a fake directory whose operations fail from the failAt-th on, or with
+// failOnce only that one. A crash loses unsynced data and names.
+type memDirectory struct {
+	files, durableFiles map[string]*inode
+	operations          int
+	failAt              int // 0 never fails
+	failOnce            bool
 }
 
-func newMemFolder() *memFolder {
-	return &memFolder{names: map[string]*inode{}, durable: map[string]*inode{}}
+func newMemDirectory() *memDirectory {
+	return &memDirectory{files: map[string]*inode{}, durableFiles: map[string]*inode{}}
 }
 
-func (d *memFolder) operate() error {
+func (d *memDirectory) countOperation() error {
 	d.operations++
 	if d.failAt > 0 && (d.operations == d.failAt || d.operations > d.failAt && !d.failOnce) {
 		return errInjected
@@ -37,39 +38,40 @@
 	return nil
 }
 
-// crash returns the folder as the next start finds it: of unsynced data the
-// first tail bytes arrived, of unsynced names none but those in kept. Each name that
-// was created, renamed or removed is kept or lost by itself.
-func (d *memFolder) crash(tail int, keptNames ...string) *memFolder {
-	found := maps.Clone(d.durable)
-	for _, name := range keptNames {
-		delete(found, name)
-		if i, there := d.names[name]; there {
-			found[name] = i
+// crash returns the directory as the next start finds it: each file keeps its synced
+// data and the first unsyncedBytes of the rest; of the unsynced changes of names, only
+// those of durableNames are on disk. Each creation, rename target and removal is
+// durable or lost independently.
+func (d *memDirectory) crash(unsyncedBytes int, durableNames ...string) *memDirectory {
+	remaining := maps.Clone(d.durableFiles)
+	for _, name := range durableNames {
+		delete(remaining, name)
+		if i, there := d.files[name]; there {
+			remaining[name] = i
 		}
 	}
-	next := newMemFolder()
-	for name, i := range found {
-		kept := slices.Clone(i.synced)
-		if len(i.data) > len(kept) {
-			kept = append(kept, i.data[len(kept):min(len(i.data), len(kept)+tail)]...)
+	crashed := newMemDirectory()
+	for name, i := range remaining {
+		survivingData := slices.Clone(i.synced)
+		if len(i.data) > len(survivingData) {
+			survivingData = append(survivingData, i.data[len(survivingData):min(len(i.data), len(survivingData)+unsyncedBytes)]...)
 		}
-		next.names[name] = &inode{data: kept, synced: slices.Clone(kept)}
+		crashed.files[name] = &inode{data: survivingData, synced: slices.Clone(survivingData)}
 	}
-	next.durable = maps.Clone(next.names)
-	return next
+	crashed.durableFiles = maps.Clone(crashed.files)
+	return crashed
 }
 
-// unsynced returns the names that a crash may keep or lose.
-func (d *memFolder) unsynced() []string {
+// unsyncedNames returns the names whose last change a crash may lose.
+func (d *memDirectory) unsyncedNames() []string {
 	var out []string
-	for name, i := range d.names {
-		if d.durable[name] != i {
+	for name, i := range d.files {
+		if d.durableFiles[name] != i {
 			out = append(out, name)
 		}
 	}
-	for name := range d.durable {
-		if _, there := d.names[name]; !there {
+	for name := range d.durableFiles {
+		if _, there := d.files[name]; !there {
 			out = append(out, name)
 		}
 	}
@@ -77,7 +79,7 @@
 	return out
 }
 
-// subsets returns every choice of names.
+// subsets returns all subsets of names.
 func subsets(names []string) [][]string {
 	all := [][]string{nil}
 	for _, name := range names {
@@ -88,61 +90,61 @@
 	return all
 }
 
-func (d *memFolder) List() ([]string, error) {
-	return slices.Sorted(maps.Keys(d.names)), d.operate()
+func (d *memDirectory) List() ([]string, error) {
+	return slices.Sorted(maps.Keys(d.files)), d.countOperation()
 }
 
-func (d *memFolder) Read(name string) ([]byte, error) {
-	i, ok := d.names[name]
+func (d *memDirectory) Read(name string) ([]byte, error) {
+	i, ok := d.files[name]
 	if !ok {
 		return nil, os.ErrNotExist
 	}
-	return slices.Clone(i.data), d.operate()
+	return slices.Clone(i.data), d.countOperation()
 }
 
-func (d *memFolder) Create(name string) (file, error) {
-	d.names[name] = &inode{}
-	return &memFile{d, d.names[name]}, d.operate()
+func (d *memDirectory) Create(name string) (file, error) {
+	d.files[name] = &inode{}
+	return &memFile{d, d.files[name]}, d.countOperation()
 }
 
-func (d *memFolder) Append(name string) (file, error) {
-	i, ok := d.names[name]
+func (d *memDirectory) Append(name string) (file, error) {
+	i, ok := d.files[name]
 	if !ok {
 		return nil, os.ErrNotExist
 	}
-	return &memFile{d, i}, d.operate()
+	return &memFile{d, i}, d.countOperation()
 }
 
-func (d *memFolder) Rename(from, to string) error {
-	if err := d.operate(); err != nil {
+func (d *memDirectory) Rename(from, to string) error {
+	if err := d.countOperation(); err != nil {
 		return err
 	}
-	d.names[to] = d.names[from]
-	delete(d.names, from)
+	d.files[to] = d.files[from]
+	delete(d.files, from)
 	return nil
 }
 
-func (d *memFolder) Remove(name string) error {
-	delete(d.names, name)
-	return d.operate()
+func (d *memDirectory) Remove(name string) error {
+	delete(d.files, name)
+	return d.countOperation()
 }
 
-func (d *memFolder) Sync() error {
-	if err := d.operate(); err != nil {
+func (d *memDirectory) Sync() error {
+	if err := d.countOperation(); err != nil {
 		return err
 	}
-	d.durable = maps.Clone(d.names)
+	d.durableFiles = maps.Clone(d.files)
 	return nil
 }
 
 type memFile struct {
-	folder *memFolder
-	inode  *inode
+	directory *memDirectory
+	inode     *inode
 }
 
 func (f *memFile) Write(b []byte) (int, error) {
-	if err := f.folder.operate(); err != nil {
-		f.inode.data = append(f.inode.data, b[:len(b)/2]...) // a full disk takes a part
+	if err := f.directory.countOperation(); err != nil {
+		f.inode.data = append(f.inode.data, b[:len(b)/2]...) // a full disk accepts a part
 		return len(b) / 2, err
 	}
 	f.inode.data = append(f.inode.data, b...)
@@ -150,11 +152,11 @@
 }
 
 func (f *memFile) Sync() error {
-	if err := f.folder.operate(); err != nil {
-		f.inode.dropped = true
+	if err := f.directory.countOperation(); err != nil {
+		f.inode.isFalselyClean = true
 		return err
 	}
-	if f.inode.dropped {
+	if f.inode.isFalselyClean {
 		return nil
 	}
 	f.inode.synced = slices.Clone(f.inode.data)
@@ -163,7 +165,7 @@
 
 func (f *memFile) Truncate(size int64) error {
 	f.inode.data = f.inode.data[:size]
-	return f.folder.operate()
+	return f.directory.countOperation()
 }
 
 func (f *memFile) Close() error { return nil }
--- a/internal/disk/memory.go
+++ b/internal/disk/memory.go
@@ -7,26 +7,27 @@
 	"fulmarmount.org/core/quorum"
 )
 
-// Memory is a store that ends with its process, for a replica on its own.
-type Memory struct {
+// MemoryStore keeps a replica's state in memory, for a cluster of one replica. The
+// state is lost when the process stops.
+type MemoryStore struct {
 	replica quorum.ReplicaID
 	state   State
 }
 
-// NewMemory returns an empty store of a new replica.
-func NewMemory() (*Memory, error) {
-	id, err := drawReplica(rand.Reader)
-	return &Memory{replica: id}, err
+// NewMemoryStore returns an empty store of a new replica.
+func NewMemoryStore() (*MemoryStore, error) {
+	id, err := randomReplicaID(rand.Reader)
+	return &MemoryStore{replica: id}, err
 }
 
-// Replica returns the identity of the replica.
-func (m *Memory) Replica() quorum.ReplicaID { return m.replica }
+// Replica returns the ID of the replica.
+func (m *MemoryStore) Replica() quorum.ReplicaID { return m.replica }
 
-// State returns what was saved.
-func (m *Memory) State() State { return m.state }
+// State returns the saved state.
+func (m *MemoryStore) State() State { return m.state }
 
-// Save keeps what rd asks for.
-func (m *Memory) Save(rd quorum.Ready) error {
+// Save stores the hard state, entries and snapshot of rd.
+func (m *MemoryStore) Save(rd quorum.Ready) error {
 	if rd.Snapshot != nil {
 		m.state.Snapshot, m.state.Entries = *rd.Snapshot, nil
 	}
@@ -35,24 +36,24 @@
 	}
 	entries, err := mergeEntries(m.state.Entries, rd.Entries)
 	if err != nil {
-		return Failed.Wrap(err, "entries do not fit")
+		return ErrIO.Wrap(err, "entries are not contiguous")
 	}
 	m.state.Entries = entries
 	return nil
 }
 
-// Compact adopts a snapshot and drops the entries before first.
-func (m *Memory) Compact(snapshot quorum.Snapshot, first uint64) error {
+// Compact stores a snapshot and discards the entries before first.
+func (m *MemoryStore) Compact(snapshot quorum.Snapshot, first uint64) error {
 	m.state.Snapshot = snapshot
-	m.state.Entries = dropBefore(m.state.Entries, first)
+	m.state.Entries = entriesFrom(m.state.Entries, first)
 	return nil
 }
 
-// dropBefore returns a copy of the entries from index first on.
-func dropBefore(entries []quorum.Entry, first uint64) []quorum.Entry {
-	drop := 0
-	for drop < len(entries) && entries[drop].Index < first {
-		drop++
+// entriesFrom returns a copy of the entries from index first on.
+func entriesFrom(entries []quorum.Entry, first uint64) []quorum.Entry {
+	dropped := 0
+	for dropped < len(entries) && entries[dropped].Index < first {
+		dropped++
 	}
-	return slices.Clone(entries[drop:])
+	return slices.Clone(entries[dropped:])
 }
--- a/internal/disk/read.go
+++ b/internal/disk/read.go
@@ -6,7 +6,7 @@
 	"fulmarmount.org/core/quorum"
 )
 
-// formatVersion is the version of both files.
+// formatVersion is the format version of log and snapshot files.
 const formatVersion = 1
 
 // header is the first frame of every file.
@@ -23,81 +23,82 @@
 	kindSnapshot = "snapshot"
 )
 
-// record is one save in the log. Entries replace those at or after the first
-// one's index.
+// record is the payload of a log frame: the result of one save. Its entries replace
+// the log's entries from the first one's index on.
 type record struct {
 	HardState *quorum.HardState `cbor:"1,keyasint,omitempty"`
 	Entries   []quorum.Entry    `cbor:"2,keyasint,omitempty"`
 }
 
-// logContent is what a log file holds.
+// logContent is the decoded content of a log file.
 type logContent struct {
-	header  header
-	hard    quorum.HardState
-	entries []quorum.Entry
-	frames  uint64 // also the next sequence number
-	size    int64  // of the good part
+	header     header
+	hardState  quorum.HardState
+	entries    []quorum.Entry
+	frameCount uint64 // valid frames; also the next sequence number
+	validBytes int64  // length of the prefix of valid frames
 }
 
 // readLog decodes a log file. A torn last frame is left out; size tells where
-// the file is to be cut.
+// the file must be truncated.
 func readLog(name string, b []byte) (logContent, error) {
 	var c logContent
-	for c.size < int64(len(b)) {
-		f, fault := readFrame(b[c.size:])
-		if fault != frameGood || f.sequence != c.frames {
-			return c, checkTail(name, b, c.size, f, fault)
+	for c.validBytes < int64(len(b)) {
+		f, fault := readFrame(b[c.validBytes:])
+		if fault != frameValid || f.sequence != c.frameCount {
+			return c, checkTail(name, b, c.validBytes, f, fault)
 		}
-		if err := c.take(name, f); err != nil {
+		if err := c.addFrame(name, f); err != nil {
 			return c, err
 		}
-		c.size += f.size
-		c.frames++
+		c.validBytes += f.size
+		c.frameCount++
 	}
-	if c.frames == 0 {
-		return c, Damaged.New("file %q has no header", name)
+	if c.frameCount == 0 {
+		return c, ErrCorrupt.New("file %q has no header", name)
 	}
 	return c, nil
 }
 
-// checkTail returns nil if the bad frame at offset is a torn tail.
+// checkTail returns nil if the invalid frame at offset is a torn last frame.
 func checkTail(name string, b []byte, offset int64, f frame, fault frameFault) error {
-	if fault == frameGood {
-		return Damaged.New("file %q, offset %d: frame %d is out of sequence", name, offset, f.sequence)
+	if fault == frameValid {
+		return ErrCorrupt.New("file %q, offset %d: frame %d is out of sequence", name, offset, f.sequence)
 	}
-	if later := laterFrame(b, offset); later >= 0 {
-		return Damaged.New("file %q, offset %d: bad frame before the good one at offset %d", name, offset, later)
+	if validOffset := nextValidFrame(b, offset); validOffset >= 0 {
+		return ErrCorrupt.New("file %q, offset %d: invalid frame before the valid one at offset %d", name, offset, validOffset)
 	}
 	if offset == 0 {
-		return Damaged.New("file %q has no header", name)
+		return ErrCorrupt.New("file %q has no header", name)
 	}
-	if !torn(b, offset, f, fault) {
-		return Damaged.New("file %q, offset %d: the last frame was written whole and has changed", name, offset)
+	if !isTornWrite(b, offset, f, fault) {
+		return ErrCorrupt.New("file %q, offset %d: the last frame is corrupt and not torn", name, offset)
 	}
 	return nil
 }
 
-// take adds one good frame.
-func (c *logContent) take(name string, f frame) error {
-	if c.frames == 0 {
+// addFrame decodes one valid frame and adds its content.
+func (c *logContent) addFrame(name string, f frame) error {
+	if c.frameCount == 0 {
 		return decodeHeader(name, kindLog, f, &c.header)
 	}
 	var r record
-	if err := decoding.Unmarshal(f.payload, &r); err != nil {
-		return Damaged.Wrap(err, "file %q, offset %d: frame %d does not decode", name, c.size, f.sequence)
+	if err := decMode.Unmarshal(f.payload, &r); err != nil {
+		return ErrCorrupt.Wrap(err, "file %q, offset %d: could not decode frame %d", name, c.validBytes, f.sequence)
 	}
 	if r.HardState != nil {
-		c.hard = *r.HardState
+		c.hardState = *r.HardState
 	}
 	entries, err := mergeEntries(c.entries, r.Entries)
 	if err != nil {
-		return Damaged.Wrap(err, "file %q, offset %d", name, c.size)
+		return ErrCorrupt.Wrap(err, "file %q, offset %d", name, c.validBytes)
 	}
 	c.entries = entries
 	return nil
 }
 
-// mergeEntries lets next replace the entries at or after its first index.
+// mergeEntries replaces the entries from the first index of next on by next. It
+// fails if the result has a gap.
 func mergeEntries(entries, next []quorum.Entry) ([]quorum.Entry, error) {
 	for i := range next {
 		if i > 0 && next[i].Index != next[i-1].Index+1 {
@@ -117,43 +118,43 @@
 	if first > start+uint64(len(entries)) {
 		return nil, fmt.Errorf("entry %d follows entry %d", first, entries[len(entries)-1].Index)
 	}
-	if keep := first - start; keep < uint64(len(entries)) {
-		entries = entries[:keep:keep] // what was handed out stays as it is
+	if retained := first - start; retained < uint64(len(entries)) {
+		entries = entries[:retained:retained] // forces append to copy: callers may hold the old slice
 	}
 	return append(entries, next...), nil
 }
 
 func decodeHeader(name, kind string, f frame, h *header) error {
-	if err := decoding.Unmarshal(f.payload, h); err != nil {
-		return Damaged.Wrap(err, "file %q: header does not decode", name)
+	if err := decMode.Unmarshal(f.payload, h); err != nil {
+		return ErrCorrupt.Wrap(err, "file %q: could not decode the header", name)
 	}
 	if h.Format != formatVersion {
-		return Format.New("file %q has format %d; this build reads format %d", name, h.Format, formatVersion)
+		return ErrUnsupportedFormat.New("file %q has format version %d, this build reads version %d", name, h.Format, formatVersion)
 	}
 	if h.Kind != kind {
-		return Foreign.New("file %q is a %q, not a %q", name, h.Kind, kind)
+		return ErrIdentityMismatch.New("file %q is of kind %q, expected %q", name, h.Kind, kind)
 	}
 	return nil
 }
 
-// readSnapshot decodes a snapshot file, which is never torn since it is
-// renamed into place after its sync.
+// readSnapshot decodes a snapshot file. It accepts no torn frame, since the file is
+// synced before it is renamed to its name.
 func readSnapshot(name string, b []byte) (header, quorum.Snapshot, error) {
 	var h header
 	var s quorum.Snapshot
 	first, fault := readFrame(b)
-	if fault != frameGood {
-		return h, s, Damaged.New("file %q, offset 0: header is damaged", name)
+	if fault != frameValid {
+		return h, s, ErrCorrupt.New("file %q, offset 0: header is corrupt", name)
 	}
 	if err := decodeHeader(name, kindSnapshot, first, &h); err != nil {
 		return h, s, err
 	}
 	body, fault := readFrame(b[first.size:])
-	if fault != frameGood || first.size+body.size != int64(len(b)) {
-		return h, s, Damaged.New("file %q, offset %d: snapshot is damaged", name, first.size)
+	if fault != frameValid || first.size+body.size != int64(len(b)) {
+		return h, s, ErrCorrupt.New("file %q, offset %d: snapshot is corrupt", name, first.size)
 	}
-	if err := decoding.Unmarshal(body.payload, &s); err != nil {
-		return h, s, Damaged.Wrap(err, "file %q, offset %d: snapshot does not decode", name, first.size)
+	if err := decMode.Unmarshal(body.payload, &s); err != nil {
+		return h, s, ErrCorrupt.Wrap(err, "file %q, offset %d: could not decode the snapshot", name, first.size)
 	}
 	return h, s, nil
 }
--- a/internal/disk/recover.go
+++ b/internal/disk/recover.go
@@ -4,13 +4,13 @@
 	"fulmarmount.org/core/quorum"
 )
 
-// Recover makes the replica in the store the only voter of a new cluster that
-// starts from its log. It is for a cluster that lost its quorum for good:
-// commands that only the lost replicas held are gone. The new cluster's ID
-// keeps replicas of the old one out.
-func (s *Store) Recover(cluster quorum.ClusterID, self quorum.Member) error {
-	if s.failed != nil {
-		return s.failed
+// ForceNewCluster makes the replica in the store the only voter of a new cluster
+// that starts from the replica's log. It is for a cluster that has permanently lost
+// its quorum: commands that only the lost replicas held are lost. Replicas of the
+// old cluster cannot communicate with the new one, as its ID differs.
+func (s *Store) ForceNewCluster(cluster quorum.ClusterID, self quorum.Member) error {
+	if s.failure != nil {
+		return s.failure
 	}
 	self.ID, self.IsLearner = s.replica, false
 	snapshot := s.state.Snapshot
@@ -24,12 +24,13 @@
 		entries = append(entries, e)
 		last = max(last, e.Index)
 	}
-	// The log of the new cluster comes first: with it and the old snapshot
-	// the folder is refused as foreign rather than started half changed.
+	// The log of the new cluster is written first: if a crash leaves it with the
+	// old snapshot, Open rejects the directory for its mismatched cluster IDs instead
+	// of starting from a partial change.
 	s.state.HardState.Cluster = cluster
 	s.state.HardState.Commit = last
 	s.state.Entries = entries
-	if err := s.rewrite(); err != nil {
+	if err := s.rewriteLog(); err != nil {
 		return err
 	}
 	if err := s.writeSnapshot(snapshot); err != nil {
--- a/internal/disk/store.go
+++ b/internal/disk/store.go
@@ -15,19 +15,20 @@
 
 // Options configures Open.
 type Options struct {
-	// Folder is created if it does not exist.
-	Folder string
-	// Random draws the identity of a new replica; nil is the system's source.
-	Random io.Reader
-	// Rewrite writes everything anew, for a folder in which a write has failed: what
-	// reads back after a failed sync may not be on the disk, and a later sync may
-	// not bring it there.
-	Rewrite bool
-
-	files folder // tests inject faults here
+	// Dir is the directory of the store. It is created if it does not exist.
+	Dir string
+	// Rand is the source of randomness for the ID of a new replica; if nil,
+	// crypto/rand.Reader is used.
+	Rand io.Reader
+	// RewriteOnOpen rewrites the log after reading it, for a directory in which a write
+	// has failed: data that can be read after a failed sync may not be on disk, and
+	// a later sync may not write it.
+	RewriteOnOpen bool
+
+	directory directoryFS // tests inject faults here
 }
 
-// State is what a replica continues from.
+// State is the persistent state from which a replica starts.
 type State struct {
 	HardState quorum.HardState
 	Snapshot  quorum.Snapshot
@@ -36,39 +37,39 @@
 
 // Store is the durable state of one replica. It is not safe for concurrent use.
 type Store struct {
-	files   folder
-	lock    *os.File
-	replica quorum.ReplicaID
+	directory directoryFS
+	lock      *os.File
+	replica   quorum.ReplicaID
 
 	log        file
-	generation uint64 // of the log file
-	sequence   uint64 // of the next frame in it
+	generation uint64 // number of the log file
+	sequence   uint64 // sequence number of the log's next frame
 	state      State
-	failed     error // set by the first write or sync that failed
+	failure    error // set by the first failed write or sync
 	buffer     []byte
 }
 
-// Open opens the folder. An empty one becomes that of a new replica with an
-// identity drawn at random.
+// Open opens the store in a directory. It initializes an empty directory for a new
+// replica with a random ID.
 func Open(o Options) (*Store, error) {
-	s := &Store{files: o.files}
-	if s.files == nil {
-		if err := makeFolder(o.Folder); err != nil {
-			return nil, Failed.Wrap(err, "folder %q cannot be made", o.Folder)
+	s := &Store{directory: o.directory}
+	if s.directory == nil {
+		if err := createDirectory(o.Dir); err != nil {
+			return nil, ErrIO.Wrap(err, "could not create directory %q", o.Dir)
 		}
-		lock, err := lockFolder(o.Folder)
+		lock, err := lockDirectory(o.Dir)
 		if err != nil {
 			return nil, err
 		}
-		s.files, s.lock = osFolder{o.Folder}, lock
+		s.directory, s.lock = osDirectory{o.Dir}, lock
 	}
-	random := o.Random
+	random := o.Rand
 	if random == nil {
 		random = rand.Reader
 	}
 	err := s.load(random)
-	if err == nil && o.Rewrite {
-		err = s.rewrite()
+	if err == nil && o.RewriteOnOpen {
+		err = s.rewriteLog()
 	}
 	if err != nil {
 		_ = s.Close()
@@ -77,16 +78,17 @@
 	return s, nil
 }
 
-// Replica returns the identity of the replica in the folder.
+// Replica returns the ID of the replica that the store belongs to.
 func (s *Store) Replica() quorum.ReplicaID { return s.replica }
 
-// State returns what was saved. The caller must not change it.
+// State returns the saved state. The caller must not modify it.
 func (s *Store) State() State { return s.state }
 
-// Err returns why the store takes nothing more, or nil.
-func (s *Store) Err() error { return s.failed }
+// Err returns the failure that stopped the store, or nil.
+func (s *Store) Err() error { return s.failure }
 
-// Close releases the folder. Everything saved is durable already.
+// Close closes the log and releases the directory's lock. Saved state is already
+// durable.
 func (s *Store) Close() error {
 	var err error
 	if s.log != nil {
@@ -94,54 +96,54 @@
 		s.log = nil
 	}
 	if s.lock != nil {
-		err = errorx.DecorateMany("folder does not close", err, s.lock.Close())
+		err = errorx.DecorateMany("could not close the store", err, s.lock.Close())
 		s.lock = nil
 	}
 	return err
 }
 
-// Save makes what rd asks for durable. Nothing may be acknowledged after an
-// error.
+// Save makes the hard state, entries and snapshot of rd durable, except for a hard
+// state that needs no sync. The caller must acknowledge nothing after an error.
 func (s *Store) Save(rd quorum.Ready) error {
-	if s.failed != nil {
-		return s.failed
+	if s.failure != nil {
+		return s.failure
 	}
 	if rd.Snapshot != nil {
-		return s.install(rd)
+		return s.installSnapshot(rd)
 	}
 	if rd.HardState != nil {
 		s.state.HardState = *rd.HardState
 	}
 	if !rd.MustSync {
-		// A greater commit index goes with the next record.
+		// Only the commit index changed: the next record includes it.
 		return nil
 	}
-	return s.append(record{HardState: &s.state.HardState, Entries: rd.Entries})
+	return s.appendRecord(record{HardState: &s.state.HardState, Entries: rd.Entries})
 }
 
-// Compact saves a snapshot of the replica's own state and drops the entries
+// Compact saves a snapshot of the replica's own state and discards the entries
 // before first.
 func (s *Store) Compact(snapshot quorum.Snapshot, first uint64) error {
-	if s.failed != nil {
-		return s.failed
+	if s.failure != nil {
+		return s.failure
 	}
 	if err := s.writeSnapshot(snapshot); err != nil {
 		return s.fail(err, "snapshot %d", snapshot.Index)
 	}
-	s.state.Entries = dropBefore(s.state.Entries, first)
-	return s.rewrite()
+	s.state.Entries = entriesFrom(s.state.Entries, first)
+	return s.rewriteLog()
 }
 
-// install replaces everything by a leader's snapshot. The term reaches the
-// disk first, since a snapshot of a greater term than the hard state's would
-// be refused at the next start.
-func (s *Store) install(rd quorum.Ready) error {
+// installSnapshot replaces log and snapshot by a leader's snapshot. The new term is
+// made durable first, since the next start would reject a snapshot whose term is
+// greater than the hard state's.
+func (s *Store) installSnapshot(rd quorum.Ready) error {
 	if rd.HardState != nil {
 		commit := s.state.HardState.Commit
 		s.state.HardState = *rd.HardState
-		before := s.state.HardState
-		before.Commit = commit
-		if err := s.append(record{HardState: &before}); err != nil {
+		uncommitted := s.state.HardState
+		uncommitted.Commit = commit
+		if err := s.appendRecord(record{HardState: &uncommitted}); err != nil {
 			return err
 		}
 	}
@@ -149,11 +151,11 @@
 		return s.fail(err, "snapshot %d", rd.Snapshot.Index)
 	}
 	s.state.Entries = slices.Clone(rd.Entries)
-	return s.rewrite()
+	return s.rewriteLog()
 }
 
-// append writes one record and syncs it.
-func (s *Store) append(r record) error {
+// appendRecord appends a record to the log and syncs the log.
+func (s *Store) appendRecord(r record) error {
 	entries, err := mergeEntries(s.state.Entries, r.Entries)
 	if err != nil {
 		return s.fail(err, "record %d", s.sequence)
@@ -164,28 +166,28 @@
 	}
 	s.buffer = appendFrame(s.buffer[:0], s.sequence, payload)
 	if _, err := s.log.Write(s.buffer); err != nil {
-		return s.fail(err, "write of record %d", s.sequence)
+		return s.fail(err, "write record %d", s.sequence)
 	}
 	if err := s.log.Sync(); err != nil {
-		return s.fail(err, "sync of record %d", s.sequence)
+		return s.fail(err, "sync record %d", s.sequence)
 	}
 	s.sequence++
 	s.state.Entries = entries
 	return nil
 }
 
-// fail stops the store for good.
+// fail stops the store permanently and returns the wrapped error.
 func (s *Store) fail(err error, format string, args ...any) error {
-	s.failed = Failed.Wrap(err, format, args...)
-	return s.failed
+	s.failure = ErrIO.Wrap(err, format, args...)
+	return s.failure
 }
 
-// drawReplica returns a random identity that is not zero.
-func drawReplica(random io.Reader) (quorum.ReplicaID, error) {
+// randomReplicaID returns a random ID other than zero.
+func randomReplicaID(random io.Reader) (quorum.ReplicaID, error) {
 	var b [8]byte
 	for {
 		if _, err := io.ReadFull(random, b[:]); err != nil {
-			return 0, Failed.Wrap(err, "no randomness for a replica identity")
+			return 0, ErrIO.Wrap(err, "could not read random bytes for a replica ID")
 		}
 		if id := binary.LittleEndian.Uint64(b[:]); id != 0 {
 			return quorum.ReplicaID(id), nil
--- a/internal/group/group.go
+++ b/internal/group/group.go
@@ -94,7 +94,7 @@
 }
 
 // memoryStore is a store without files.
-type memoryStore struct{ *disk.Memory }
+type memoryStore struct{ *disk.MemoryStore }
 
 // Close implements store.
 func (memoryStore) Close() error { return nil }
@@ -105,7 +105,7 @@
 	if o.openStore == nil {
 		o.openStore = openStore
 	}
-	s, err := o.openStore(disk.Options{Folder: o.Dir})
+	s, err := o.openStore(disk.Options{Dir: o.Dir})
 	if err != nil {
 		return nil, err
 	}
@@ -141,8 +141,8 @@
 }
 
 func openStore(o disk.Options) (store, error) {
-	if o.Folder == "" {
-		m, err := disk.NewMemory()
+	if o.Dir == "" {
+		m, err := disk.NewMemoryStore()
 		return memoryStore{m}, err
 	}
 	return disk.Open(o)
--- a/internal/group/processes_test.go
+++ b/internal/group/processes_test.go
@@ -293,7 +293,7 @@
 	}
 }
 
-func (s *deployment) subscribe() *subscriber {
+func (s *deployment) startSubscriber() *subscriber {
 	s.t.Helper()
 	identity, err := keys.Load(s.path("keys/ca.pem"), s.path("keys/balancer-1.pem"), s.path("keys/balancer-1.key"))
 	if err != nil {
@@ -330,7 +330,7 @@
 	}
 	s := newDeployment(t)
 	s.apply(5)
-	d := s.subscribe()
+	d := s.startSubscriber()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second) // the client retries without a limit
 	defer cancel()
 	if _, err := s.follower().client.Progress(ctx, s.version); err == nil {
--- a/internal/group/recover.go
+++ b/internal/group/recover.go
@@ -73,7 +73,7 @@
 }
 
 func (g *Group) tryReopenStore() error {
-	s, err := g.options.openStore(disk.Options{Folder: g.options.Dir, Rewrite: true})
+	s, err := g.options.openStore(disk.Options{Dir: g.options.Dir, RewriteOnOpen: true})
 	if err != nil {
 		return err
 	}
--- a/internal/replica/bench_test.go
+++ b/internal/replica/bench_test.go
@@ -66,7 +66,7 @@
 	var stores []*disk.Store
 	var members []quorum.Member
 	for i := range replicas {
-		s, err := disk.Open(disk.Options{Folder: filepath.Join(folder, fmt.Sprint(i))})
+		s, err := disk.Open(disk.Options{Dir: filepath.Join(folder, fmt.Sprint(i))})
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/replica/cluster_test.go
+++ b/internal/replica/cluster_test.go
@@ -124,7 +124,7 @@
 
 func memoryStores(t *testing.T, n int) (stores []Store) {
 	for range n {
-		s, err := disk.NewMemory()
+		s, err := disk.NewMemoryStore()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/replica/node_test.go
+++ b/internal/replica/node_test.go
@@ -49,7 +49,7 @@
 	is := is.New(t)
 	folder := t.TempDir()
 	open := func(name string) *disk.Store {
-		s, err := disk.Open(disk.Options{Folder: filepath.Join(folder, name)})
+		s, err := disk.Open(disk.Options{Dir: filepath.Join(folder, name)})
 		is.NoErr(err)
 		return s
 	}
--- a/tools/capacity/measure_control.go
+++ b/tools/capacity/measure_control.go
@@ -153,7 +153,7 @@
 	for _, batch := range []int{1, 10, 30, 100} {
 		folder, err := os.MkdirTemp("", "capacity")
 		must(err)
-		store, err := disk.Open(disk.Options{Folder: folder})
+		store, err := disk.Open(disk.Options{Dir: folder})
 		must(err)
 		index := uint64(2)
 		began := time.Now()
