--- a/internal/group/group.go
+++ b/internal/group/group.go
@@ -47,8 +47,8 @@
 	// ClusterName is the control group's name in the settings.
 	ClusterName string
 	// Peers are the founding replicas of a new cluster, this one included. If it
-	// is empty or lists only this replica, and Seeds is nil, the cluster has one
-	// replica.
+	// lists only this replica, or is empty and Seeds is nil, the new cluster has
+	// one replica.
 	Peers []Peer
 	// Seeds returns the addresses of replicas to which a replica without a
 	// cluster, or one that was removed, sends join requests; nil if operators add
