--- a/tools/capacity/model.go
+++ b/tools/capacity/model.go
@@ -81,11 +81,11 @@
 	cpu := c.idleCPU() + rate*c.changeCPU()
 	return []Row{
 		{"views of every service", siBytes(views), "`view_heap` at 140,000 hosts", 0, 0, "`flow.Balancer`, one immutable view per service", ""},
-		{"dissemination state", siBytes(sink), "`sink_heap` at 140,000 hosts", 0, 0, "`spread.Store` without bodies", ""},
+		{"dissemination state", siBytes(sink), "`sink_heap` at 140,000 hosts", 0, 0, "`dissemination.Store` without bodies", ""},
 		{"connections to control", siBytes(endsPerConnection * c.connection()), "one in use, one fresh; `conn_heap`", 0, 0, "`peer.Pool`", ""},
 		{"memory for control, live", siBytes(live), "sum", live, budgetMemory, "one copy of each view", ""},
 		{"memory for control, with garbage", siBytes(live * gcFactor), "live × 2, GOGC=100", live * gcFactor, budgetMemory, "collector's default pace", "a limit on the runtime's heap (GOMEMLIMIT) at the budget, which the live part fits; subscriptions by region, a sixth of the live part"},
-		{"messages received per second", digits(rate + 2*probesPerSecond), fmt.Sprintf("%s changes, probes and acknowledgements", digits(rate)), 0, 0, "batches, `spread.Source`", ""},
+		{"messages received per second", digits(rate + 2*probesPerSecond), fmt.Sprintf("%s changes, probes and acknowledgements", digits(rate)), 0, 0, "batches, `dissemination.Source`", ""},
 		{"bytes for control per second", siBytes(bytes), "`idle_bytes` + changes × `wire_bytes`", bytes, budgetBytes, "one delta per change, no polling of state", ""},
 		{"processor time for control", percent(cpu), "`idle_cpu` + changes × `wire_cpu`, half of both ends", cpu, budgetCore, "only changed views are decoded", ""},
 		{"new flows per second", digits(f.newFlowsPerDaemon()), "860,000 over 13,000", 0, 0, "no state per flow", ""},
@@ -105,7 +105,7 @@
 		{"flows owned", grouped(f.flowsPerHost()), "180 million over 140,000 hosts", 0, 0, "`flow.Agent`, the only authority on a flow", ""},
 		{"flow table", siBytes(table), "`flow_bytes`", 0, 0, "fixed-size entries, without pointers for the collector", ""},
 		{"memory for control, with garbage", siBytes(live * gcFactor), "(table + two connections) × 2", live * gcFactor, budgetMemory, "an agent follows the two items of its own service", ""},
-		{"messages sent per second", digits(renewsPerSecond + probesPerSecond), "announcements and probes", 0, 0, "`lease`, `spread.Sink`", ""},
+		{"messages sent per second", digits(renewsPerSecond + probesPerSecond), "announcements and probes", 0, 0, "`lease`, `dissemination.Sink`", ""},
 		{"bytes for control per second", siBytes(bytes), "`idle_bytes` + `renew_bytes`", bytes, budgetBytes, "announcements go to one relay", ""},
 		{"processor time for control", percent(cpu), "`idle_cpu` + `renew_cpu`, half of both ends", cpu, budgetCore, "as above", ""},
 		{"changes of the own view per day", digits(changes * secondsPerDay), "views per second over 19,000 services", 0, 0, "subscription to the own service's keys", ""},
@@ -123,8 +123,8 @@
 	renewals := f.agentsPerRelay() * renewsPerSecond * c.renewCPU()
 	subscriptions := connections*c.idleCPU() + f.balancersPerRelay()*rate*c.changeCPU()
 	return []Row{
-		{"daemons served", grouped(connections), "310 balancers and 3,333 agents at each of 42 relays", 0, 0, "`spread.RelayOrder` spreads them, `MaxSubscribers` bounds them", ""},
-		{"items held, with bodies", siBytes(c.Get("relay_heap").At(f.Hosts)), "`relay_heap` at 140,000 hosts", 0, 0, "`spread.Store`", ""},
+		{"daemons served", grouped(connections), "310 balancers and 3,333 agents at each of 42 relays", 0, 0, "`dissemination.RelayOrder` spreads them, `MaxSubscribers` bounds them", ""},
+		{"items held, with bodies", siBytes(c.Get("relay_heap").At(f.Hosts)), "`relay_heap` at 140,000 hosts", 0, 0, "`dissemination.Store`", ""},
 		{"connections", siBytes(connections * c.connection()), "`conn_heap`", 0, 0, "one QUIC connection per daemon", ""},
 		{"leases", siBytes(leases), "`lease_heap` at 3,333 hosts", 0, 0, "`lease.Registry`", ""},
 		{"memory, with garbage", siBytes(live * gcFactor), "sum × 2", 0, 0, "a VM set aside", ""},
@@ -149,10 +149,10 @@
 		{"commits per second that one disk allows", grouped(1 / sync), "`sync_us` of single commits; batches allow more", commits, 1 / sync, "one sync per batch", ""},
 		{"messages between replicas", siBytes(commits*commitBytes) + "/s", "`commit_bytes` at 5 replicas", 0, 0, "pipelined appends", ""},
 		{"log growth per day", siBytes(f.ConfigChangesPerDay * commandBytes), "512 B per command", 0, 0, "snapshots drop it", ""},
-		{"view changes numbered per second", digits(f.viewsPerSecond()), fmt.Sprintf("%s restarts and losses a day × %v views", grouped(f.hostsWithChangesDay()), viewsPerRestart), 0, 0, "`spread.Root`, outside the log", ""},
+		{"view changes numbered per second", digits(f.viewsPerSecond()), fmt.Sprintf("%s restarts and losses a day × %v views", grouped(f.hostsWithChangesDay()), viewsPerRestart), 0, 0, "`dissemination.Root`, outside the log", ""},
 		{"bytes to relays and replicas per second", siBytes(subscribers * rate * c.changeBytes()), "46 subscribers × changes × `wire_bytes`", 0, 0, "relays carry the daemons", ""},
 		{"processor time of the leader", percent(cpu), "`commit_ns` + 46 × changes × `wire_cpu`", 0, 0, "a VM set aside", ""},
-		{"items held, with bodies", siBytes(c.Get("relay_heap").At(f.Hosts)), "`relay_heap`", 0, 0, "`spread.Store`", ""},
+		{"items held, with bodies", siBytes(c.Get("relay_heap").At(f.Hosts)), "`relay_heap`", 0, 0, "`dissemination.Store`", ""},
 		{"cores for renewals, as the leader takes them all today", digits(f.Hosts * renewsPerSecond * c.renewCPU()), "140,000 a second × `renew_cpu`", f.Hosts * renewsPerSecond * c.renewCPU(), vmCores, "`lease.Registry` at the leader", "leases at the relays, which pass on only what changes: 3,333 agents each, see the relay"},
 	}
 }
@@ -164,9 +164,9 @@
 	lost := usual + 2*2.0 // dissemination.SourceOptions.ResendAfter on both hops.
 	return []Row{
 		{"commit", seconds(sync + crossRegionRTT), "two syncs and a round trip of 0.3 s between regions (assumed)", 0, 0, "`quorum`", ""},
-		{"gather", seconds(warmWindow), "`batchWindow`", 0, 0, "`spread.Source`", ""},
+		{"gather", seconds(warmWindow), "`batchWindow`", 0, 0, "`dissemination.Source`", ""},
 		{"to relay and daemon", seconds(crossRegionRTT), "two hops of half a round trip", 0, 0, "pushed, not polled", ""},
 		{"in force everywhere", seconds(usual), "sum", usual, budgetInForce, "two levels", ""},
-		{"in force, a batch lost on both hops", seconds(lost), "resend after 2 s on each", lost, budgetInForce, "`spread.Source`, resend", ""},
+		{"in force, a batch lost on both hops", seconds(lost), "resend after 2 s on each", lost, budgetInForce, "`dissemination.Source`, resend", ""},
 	}
 }
