--- a/internal/replica/read.go
+++ b/internal/replica/read.go
@@ -39,7 +39,7 @@
 		return err
 	case <-ctx.Done():
 		_ = n.runInLoop(context.WithoutCancel(ctx), func() { delete(n.pendingReads, id) })
-		return ErrReadUnconfirmed.Wrap(ctx.Err(), "read index was not confirmed and applied in time")
+		return ErrReadUnconfirmed.Wrap(ctx.Err(), "no majority confirmed the leader in time")
 	}
 }
 
