--- a/core/attempt/sim_test.go
+++ b/core/attempt/sim_test.go
@@ -123,7 +123,7 @@
 }
 
 // restart gives one agent a new incarnation. The others receive the new view at
-// random times within simLag.
+// random times within simViewLag.
 func (s *sim) restart() {
 	a := s.agents[s.rng.IntN(len(s.agents))]
 	s.startAgent(a, a.target.Incarnation+1)
--- a/core/routing/table.go
+++ b/core/routing/table.go
@@ -199,7 +199,7 @@
 }
 
 // placementCandidates returns the members whose loads are compared for a new flow of
-// key: the first maxCandidates in rendezvous order that accept new flows. It takes one
+// key: the first maxPlacementCandidates in rendezvous order that accept new flows. It takes one
 // pass and no sort of all members.
 func (t *Table) placementCandidates(key uint64, service view.ServiceID) []*member {
 	members := t.members[service]
--- a/internal/group/keep.go
+++ b/internal/group/keep.go
@@ -47,13 +47,13 @@
 			reconciler = membership.New(g.options.Membership)
 		}
 		now := g.options.Now().Sub(began)
-		if change, ok := reconciler.NextChange(now, rosterState(status)); ok {
+		if change, ok := reconciler.NextChange(now, membershipState(status)); ok {
 			g.changeMembership(ctx, n, change)
 		}
 	})
 }
 
-func rosterState(s replica.Status) membership.State {
+func membershipState(s replica.Status) membership.State {
 	active := make(map[quorum.ReplicaID]bool, len(s.Progress))
 	for _, p := range s.Progress {
 		active[p.ID] = p.ActiveSinceCheck
